--- a/brookreach/benchlink/__main__.py
+++ b/brookreach/benchlink/__main__.py
@@ -2,6 +2,6 @@
 
 import sys
 
-from .host import serve
+from brookreach.benchlink.host import serve
 
 sys.exit(serve(sys.stdin.buffer, sys.stdout.buffer))
--- a/brookreach/benchlink/host.py
+++ b/brookreach/benchlink/host.py
@@ -5,12 +5,11 @@
 import sys
 from typing import Any, BinaryIO
 
+from brookreach.benchlink.frames import WireError, read_frame, write_frame
+from brookreach.benchlink.words import Record, entry_from, event_from, record_from, start_from, to_ms
 from brookreach.decide import Marshal
 from brookreach.interface import Action, Fault, NodeEntry, Start
 
-from .frames import WireError, read_frame, write_frame
-from .words import Record, entry_from, event_from, record_from, start_from, to_ms
-
 
 class Host:
     def __init__(self) -> None:
--- a/brookreach/benchlink/words.py
+++ b/brookreach/benchlink/words.py
@@ -8,11 +8,10 @@
 
 from brookreach import facts
 from brookreach import interface as ifc
+from brookreach.benchlink.frames import WireError
 from brookreach.facts import to_ms
 from brookreach.settings_reader import SettingsError
 
-from .frames import WireError
-
 ENDINGS = {
     0: ifc.Ending.OK,
     5: ifc.Ending.ERROR,
--- a/brookreach/capacity/measure_anew.py
+++ b/brookreach/capacity/measure_anew.py
@@ -8,20 +8,20 @@
 
 import click
 
-from brookreach.fleet import words
-from brookreach.fleet.machine import Machine
-from brookreach.fleet.piece import Draft
-from brookreach.fleet.seams import Timing
+from brookreach.applications import pieces
+from brookreach.coordination.ports import Timing
+from brookreach.coordination.protocol import messages
+from brookreach.coordination.state_machine.application import Draft
+from brookreach.coordination.state_machine.machine import Machine
+from brookreach.disruption import deadlines
+from brookreach.disruption.permits import KEEP_MS
+from brookreach.disruption.tables import PERMITS, PermitRow
 from brookreach.model.keepers_crowd import WALL, Crowd, fleet
-from brookreach.outages import due
-from brookreach.outages.permits import KEEP_MS
-from brookreach.outages.rows import PERMITS, PermitRow
-from brookreach.together import pieces
 
 CLIENTS = 10
 MOST_MS = 60_000.0
 SETTLE_MS = 2_000.0
-KINDS: tuple[words.Kind, ...] = ("marshal", "agent")
+KINDS: tuple[messages.Kind, ...] = ("marshal", "agent")
 
 
 def fleet_with_permits(nodes: int, permits: int) -> Machine:
@@ -31,14 +31,14 @@
     for number in range(permits):
         name, target = f"old{number}", f"n{number % nodes}"
         draft.put(PERMITS, name, PermitRow("drain", target, "op", 5, WALL, "ended", 1, WALL, WALL, 1, "work"))
-        due.at(draft, WALL + KEEP_MS + number, due.FORGET, name)
+        deadlines.at(draft, WALL + KEEP_MS + number, deadlines.FORGET, name)
     machine.view.take(draft.puts())
     fresh = Machine(pieces())
     fresh.restore(machine.snapshot())
     return fresh
 
 
-def bytes_anew(kind: words.Kind, nodes: int, permits: int, clients: int = CLIENTS) -> float:
+def bytes_anew(kind: messages.Kind, nodes: int, permits: int, clients: int = CLIENTS) -> float:
     """To one of so many clients that come at once, until all hold what they watch."""
     machine = fleet_with_permits(nodes, permits)
     crowd = Crowd(nodes, 1, Timing(), 1.0)
--- a/brookreach/capacity/samples.py
+++ b/brookreach/capacity/samples.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
+from brookreach.disruption.balancer_client import SERVICE
+from brookreach.disruption.tables import MarshalRow, NodeRow, PermitRow
 from brookreach.model.keepers_crowd import WALL
-from brookreach.outages.attend import SERVICE
-from brookreach.outages.rows import MarshalRow, NodeRow, PermitRow
 
 GROUP = "g"
 FAR_INDEX = 1_000_000  # a session's number late in a group's life
--- a/brookreach/power/piece.py
+++ b/brookreach/carbon_aware/application.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-from brookreach.fleet.piece import Context, Draft, Put, Refusal, Row, View
-from brookreach.power import orders, prefer, reserve
-from brookreach.power.curve import digest, flaws, in_force, told
-from brookreach.power.rows import (
+from brookreach.carbon_aware import commands as orders
+from brookreach.carbon_aware import reservations, zone_preference
+from brookreach.carbon_aware.cost_curve import digest, flaws, in_force, told
+from brookreach.carbon_aware.tables import (
     CURRENT,
     DRAFTS,
     HOLDS,
@@ -32,6 +32,7 @@
     SpanRow,
     version_key,
 )
+from brookreach.coordination.state_machine.application import Context, Draft, Put, Refusal, Row, View
 
 AHEAD = 1  # slots after the one under way that a marshal may ask for
 
@@ -77,13 +78,13 @@
         row: CurrentRow | None = view.get(CURRENT, "all")
         if row is not None and not row.reason:
             times.append(row.until_ms)
-        slot = reserve.first_slot(view)
+        slot = reservations.first_slot(view)
         if slot is not None:
             times.append((slot + 1) * SLOT_MS)
         return min(times, default=None)
 
     def passed(self, view: View, context: Context) -> list[Put]:
-        puts = reserve.passed(view, context.at_ms // SLOT_MS)
+        puts = reservations.passed(view, context.at_ms // SLOT_MS)
         row: CurrentRow | None = view.get(CURRENT, "all")
         if row is not None and not row.reason and context.at_ms >= row.until_ms:
             puts.append(Put(CURRENT, "all", _ended(row, f"expired at {told(row.until_ms)}")))
@@ -93,7 +94,7 @@
         draft = Draft(view)
         held: HoldRow | None = view.get(HOLDS, context.by)
         if held is not None and held.session == context.session:
-            draft.take(reserve.release(view, context.by))
+            draft.take(reservations.release(view, context.by))
         for key, one in view.rows(DRAFTS):
             if one.session == context.session and one.by == context.by:
                 _clear(draft, key)
@@ -226,9 +227,9 @@
         raise Refusal(f"slot {order.slot}; {slot} to {slot + AHEAD} are allowed")
     held: HoldRow | None = draft.get(HOLDS, context.by)
     row = in_force(draft, context.at_ms)
-    spans: list[reserve.Sized] = []
+    spans: list[reservations.Sized] = []
     if held is not None and row is not None and held.version == row.version:
         spans = [one for one in held.spans if one[1] != order.slot]
-    given = prefer.granted(draft, context.at_ms, context.by, order.slot, order.calls, order.zones)
+    given = zone_preference.granted(draft, context.at_ms, context.by, order.slot, order.calls, order.zones)
     spans += [(zone, order.slot, order.slot + 1, part) for zone, part in given.items()]
-    draft.take(reserve.replace(draft, context.at_ms, context.by, spans, context.session, calls=True))
+    draft.take(reservations.replace(draft, context.at_ms, context.by, spans, context.session, calls=True))
--- a/brookreach/power/orders.py
+++ b/brookreach/carbon_aware/commands.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from brookreach.fleet.piece import Order
-from brookreach.fleet.words import MOST_RECORD, Name
-from brookreach.power.curve import MOST_GRAMS, MOST_MS, MOST_SPANS, MOST_ZONES, Spans, digest
+from brookreach.carbon_aware.cost_curve import MOST_GRAMS, MOST_MS, MOST_SPANS, MOST_ZONES, Spans, digest
+from brookreach.coordination.protocol.messages import MOST_RECORD, Name
+from brookreach.coordination.state_machine.application import Order
 
 VERSION = 1
 MOST_PART_SPANS = 500  # of the longest names these are well under a record's 64 KiB
--- a/brookreach/power/curve.py
+++ b/brookreach/carbon_aware/cost_curve.py
@@ -14,8 +14,8 @@
 
 import msgspec
 
-from brookreach.fleet.piece import View
-from brookreach.power.rows import CURRENT, SCHEDULES, SLOT_MS, CurrentRow, SpanRow, version_key
+from brookreach.carbon_aware.tables import CURRENT, SCHEDULES, SLOT_MS, CurrentRow, SpanRow, version_key
+from brookreach.coordination.state_machine.application import View
 
 MOST_GRAMS = 3000  # a kWh; the dirtiest plants stay under half of it
 MOST_ZONES, MOST_SPANS = 64, 10_000
--- a/brookreach/power/plan.py
+++ b/brookreach/carbon_aware/planner.py
@@ -10,7 +10,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from brookreach.power.rows import SLOT_MS
+from brookreach.carbon_aware.tables import SLOT_MS
 
 FAR = 1 << 62
 HALVINGS = 12  # of the price of work: to one in 4,096 of the dearest slot
--- a/brookreach/power/reserve.py
+++ b/brookreach/carbon_aware/reservations.py
@@ -8,9 +8,8 @@
 
 from collections.abc import Iterable, Mapping
 
-from brookreach.fleet.piece import Draft, Put, View
-from brookreach.power.curve import curve, in_force
-from brookreach.power.rows import (
+from brookreach.carbon_aware.cost_curve import curve, in_force
+from brookreach.carbon_aware.tables import (
     HOLDS,
     LOADS,
     RESERVED,
@@ -21,6 +20,7 @@
     load_key,
     reserved_key,
 )
+from brookreach.coordination.state_machine.application import Draft, Put, View
 
 Span = tuple[str, int, int]  # zone, first slot, slot after the last
 Sized = tuple[str, int, int, int]  # and the room
--- a/brookreach/power/schedule.py
+++ b/brookreach/carbon_aware/schedule_file.py
@@ -19,10 +19,10 @@
 
 import msgspec
 
+from brookreach.carbon_aware.commands import Calls, Number
+from brookreach.carbon_aware.cost_curve import MOST_GRAMS, MOST_MS, MOST_SPANS, MOST_ZONES, digest, flaws
+from brookreach.coordination.protocol.messages import Name
 from brookreach.files import BadFile, checked, read_bounded, read_toml
-from brookreach.fleet.words import Name
-from brookreach.power.curve import MOST_GRAMS, MOST_MS, MOST_SPANS, MOST_ZONES, digest, flaws
-from brookreach.power.orders import Calls, Number
 
 UNIT = "gCO2e/kWh"
 HEADER = ["zone", "from", "to", UNIT]
--- a/brookreach/power/choose.py
+++ b/brookreach/carbon_aware/scheduler.py
@@ -14,11 +14,11 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
-from brookreach.fleet.piece import View
-from brookreach.power import curve as curves
-from brookreach.power.plan import FAR, Run, Task, cheapest
-from brookreach.power.reserve import Span, from_slot, others
-from brookreach.power.rows import HOLDS, LOADS, RESERVED, SLOT_MS, HoldRow, load_key, reserved_key
+from brookreach.carbon_aware import cost_curve as curves
+from brookreach.carbon_aware.planner import FAR, Run, Task, cheapest
+from brookreach.carbon_aware.reservations import Span, from_slot, others
+from brookreach.carbon_aware.tables import HOLDS, LOADS, RESERVED, SLOT_MS, HoldRow, load_key, reserved_key
+from brookreach.coordination.state_machine.application import View
 
 MARGIN = 20  # thousandths of the grams still to come, that a change has to save
 HORIZON = 672  # slots: a week
--- a/brookreach/power/rows.py
+++ b/brookreach/carbon_aware/tables.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from brookreach.fleet.piece import Row
+from brookreach.coordination.state_machine.application import Row
 
 SCHEDULES, CURRENT, RESERVED = "schedules", "schedule", "reserved"
 DRAFTS, OFFERS, HOLDS, LOADS = "schedule-drafts", "power-offers", "power-holds", "power-loads"
--- a/brookreach/power/prefer.py
+++ b/brookreach/carbon_aware/zone_preference.py
@@ -10,10 +10,10 @@
 
 from collections.abc import Iterable, Mapping
 
-from brookreach.fleet.piece import View
-from brookreach.power import curve as curves
-from brookreach.power.reserve import calls_of
-from brookreach.power.rows import HOLDS, LOADS, OFFERS, SLOT_MS, HoldRow, load_key
+from brookreach.carbon_aware import cost_curve as curves
+from brookreach.carbon_aware.reservations import calls_of
+from brookreach.carbon_aware.tables import HOLDS, LOADS, OFFERS, SLOT_MS, HoldRow, load_key
+from brookreach.coordination.state_machine.application import View
 
 WHOLE = 10_000  # weights add up to it
 MARGIN = 20  # thousandths that a zone is cleaner than the mean of all, or it counts as alike
--- a/brookreach/cli/files.py
+++ b/brookreach/cli/files.py
@@ -178,17 +178,17 @@
 
             return "a control service", msgspec.to_builtins(config.control(file, values))
         if "group" in values:
-            from brookreach.fleet import config as group
+            from brookreach.coordination import configuration as group
 
             return "a group of keepers", msgspec.to_builtins(group.fleet(file, values))
         if "gang" in values:
-            from brookreach.gangs import file as gangs
+            from brookreach.gang_scheduling import gang_file as gangs
 
             return "a list of gangs", {"gang": msgspec.to_builtins(gangs.read(file, 0))}
         if "schedule" in values:
-            from brookreach.power import schedule
+            from brookreach.carbon_aware import schedule_file
 
-            return "a power schedule", msgspec.to_builtins(schedule.schedule(file, values))
+            return "a power schedule", msgspec.to_builtins(schedule_file.schedule(file, values))
         told = checked(file, values, PlanFile)
         facts_of(file, told)
         return "a plan of a wave", msgspec.to_builtins(told)
--- a/brookreach/cli/fleet.py
+++ b/brookreach/cli/fleet.py
@@ -14,7 +14,7 @@
 from brookreach.cli.talked import WAIT, File, asked, said, talked
 
 if TYPE_CHECKING:
-    from brookreach.fleet.talk import Talk
+    from brookreach.coordination.client.one_shot import Talk
 
 
 @click.group()
@@ -31,7 +31,7 @@
 @click.argument("path", type=File)
 def key(path: Path) -> None:
     """Make a group's key at PATH. Whoever reads it can speak as any keeper, marshal or operator."""
-    from brookreach.fleet import config
+    from brookreach.coordination import configuration as config
 
     said(lambda: config.make_key(path))
     click.echo(f"{path}: a new key; give it to the group's processes and to nobody else")
@@ -43,10 +43,10 @@
 @click.option("--log", type=click.Choice(["plain", "json"]), default="plain", show_default=True)
 def keep(file: Path, keeper: str, log: str) -> None:
     """Run one keeper until SIGTERM."""
+    from brookreach.applications import pieces
     from brookreach.cli.structured import writer
-    from brookreach.fleet.serve import keep as run
+    from brookreach.coordination.server.process import keep as run
     from brookreach.net.report import Report
-    from brookreach.together import pieces
 
     sys.exit(run(file, keeper, pieces(), Report(keeper, 20, writer(log, keeper)).say))
 
@@ -68,8 +68,8 @@
 
 
 def _begin(file: Path, keepers: tuple[str, ...], begin: Callable[[Any, tuple[str, ...]], None]) -> None:
-    from brookreach.fleet import config
-    from brookreach.fleet.serve import disk_of
+    from brookreach.coordination import configuration as config
+    from brookreach.coordination.server.process import disk_of
 
     def each() -> None:
         told = config.read(file)
@@ -100,7 +100,7 @@
     import anyio
 
     from brookreach.configuration import BadStart, object_at
-    from brookreach.outages.agent import nodes_of, play
+    from brookreach.disruption.node_agent import nodes_of, play
 
     try:
         nodes = [replace(one, room=room) for one in nodes_of(object_at(str(config), "CONFIG"))]
@@ -109,11 +109,11 @@
     except (KeyError, TypeError, ValueError) as error:
         raise click.ClickException(f"{config} is no marshal's configuration: {error!r}") from None
     if gangs is not None:
-        from brookreach.gangs import worker
+        from brookreach.gang_scheduling.agent import process
 
         if away_ms is not None:
             raise click.ClickException("--away-ms with --gangs: nodes that gangs use are not played away")
-        said(lambda: anyio.run(worker.play, file, nodes, room, gangs, click.echo))
+        said(lambda: anyio.run(process.play, file, nodes, room, gangs, click.echo))
         return
     away_s = None if away_ms is None else away_ms / 1000.0
     said(lambda: anyio.run(play, file, nodes, away_s, click.echo))
@@ -164,7 +164,7 @@
 @WAIT
 def seats(file: Path, way: str, keeper: str, wait: float) -> None:
     """Give the KEEPER a seat, or take it away. One at a time; each must have come along before the next."""
-    from brookreach.fleet.flights import MoveSeat
-    from brookreach.fleet.sessions import SEATS
+    from brookreach.coordination.server.proposals import MoveSeat
+    from brookreach.coordination.state_machine.sessions import SEATS
 
     asked(file, wait, SEATS, MoveSeat(way, keeper))  # type: ignore[arg-type]  # one of the choices
--- a/brookreach/cli/fleet_ask.py
+++ b/brookreach/cli/fleet_ask.py
@@ -14,7 +14,7 @@
 from brookreach.cli.talked import REASON, WAIT, File, asked, said
 
 if TYPE_CHECKING:
-    from brookreach.fleet.piece import Order, View
+    from brookreach.coordination.state_machine.application import Order, View
 
 URGENCY = click.option("--urgency", type=click.IntRange(0, 9), default=5, show_default=True)
 NAME = click.option("--name", default="", help="The permit's name; else one is made up.")
@@ -35,7 +35,7 @@
 
 def _permit(name: str) -> Callable[[View], str]:
     """How the permit stands."""
-    from brookreach.outages.rows import PERMITS
+    from brookreach.disruption.tables import PERMITS
 
     def text(view: View) -> str:
         row = view.get(PERMITS, name)
@@ -57,7 +57,7 @@
 @click.pass_obj
 def drain(send: Any, node: str, name: str, urgency: int, reason: str) -> None:
     """A permit for NODE to go out."""
-    from brookreach.outages.orders import AskDrain
+    from brookreach.disruption.commands import AskDrain
 
     name = _made(name, "drain", node)
     send(AskDrain(name, node, urgency, reason), _permit(name))
@@ -71,7 +71,7 @@
 @click.pass_obj
 def restart(send: Any, marshal: str, name: str, urgency: int, reason: str) -> None:
     """A permit for MARSHAL to restart."""
-    from brookreach.outages.orders import AskRestart
+    from brookreach.disruption.commands import AskRestart
 
     name = _made(name, "restart", marshal)
     send(AskRestart(name, marshal, urgency, reason), _permit(name))
@@ -83,7 +83,7 @@
 @click.pass_obj
 def take_back(send: Any, name: str, reason: str) -> None:
     """The permit NAME is taken back: out of the queue, or its target comes back."""
-    from brookreach.outages.orders import TakeBack
+    from brookreach.disruption.commands import TakeBack
 
     send(TakeBack(name, reason), _permit(name))
 
@@ -94,8 +94,8 @@
 @click.pass_obj
 def halt(send: Any, way_back: bool, reason: str) -> None:
     """No permit is given and no stage opens, until a resume names this halt."""
-    from brookreach.outages.orders import Halt
-    from brookreach.outages.rows import HALT
+    from brookreach.disruption.commands import Halt
+    from brookreach.disruption.tables import HALT
 
     def text(view: View) -> str:
         row = view.get(HALT, "all")
@@ -110,7 +110,7 @@
 @click.pass_obj
 def resume(send: Any, fence: int, reason: str) -> None:
     """Lift the halt FENCE, and no other."""
-    from brookreach.outages.orders import Resume
+    from brookreach.disruption.commands import Resume
 
     send(Resume(fence, reason))
 
@@ -122,7 +122,7 @@
 @click.pass_obj
 def gone(send: Any, kind: Any, name: str, reason: str) -> None:
     """The node or marshal NAME will never come back."""
-    from brookreach.outages.orders import Gone
+    from brookreach.disruption.commands import Gone
 
     send(Gone(kind, name, reason))
 
@@ -131,11 +131,11 @@
 @click.pass_context
 def budgets(context: click.Context) -> None:
     """All budgets are as FILE's [[budget]] tables say from now on."""
-    from brookreach.fleet import config
-    from brookreach.outages.orders import BudgetFor, SetBudgets
+    from brookreach.coordination import configuration
+    from brookreach.disruption.commands import BudgetFor, SetBudgets
 
     assert context.parent is not None
-    told = said(partial(config.read, context.parent.params["file"]))
+    told = said(partial(configuration.read, context.parent.params["file"]))
     rows = tuple(BudgetFor(one.kind, one.scope, one.most_out, one.least_ready) for one in told.budget)
     context.obj(SetBudgets(rows), lambda view: f"{len(rows)} budgets")
 
--- a/brookreach/cli/fleet_ask_work.py
+++ b/brookreach/cli/fleet_ask_work.py
@@ -16,7 +16,7 @@
 from brookreach.cli.talked import REASON, File, answers, asked, said
 
 if TYPE_CHECKING:
-    from brookreach.fleet.piece import Order, View
+    from brookreach.coordination.state_machine.application import Order, View
 
 
 def _group(context: click.Context) -> tuple[Path, float]:
@@ -29,7 +29,7 @@
 
 
 def _in_force(view: View) -> str:
-    from brookreach.power.rows import CURRENT
+    from brookreach.carbon_aware.tables import CURRENT
 
     row = view.get(CURRENT, "all")
     if row is None:
@@ -42,8 +42,8 @@
 @click.pass_context
 def schedule(context: click.Context, power: Path) -> None:
     """All go by the schedule of POWER from the place on where its last part is agreed."""
-    from brookreach.power.orders import parts
-    from brookreach.power.schedule import read
+    from brookreach.carbon_aware.commands import parts
+    from brookreach.carbon_aware.schedule_file import read
 
     told = said(partial(read, power))
     sent = list(parts(told.version, told.zones, told.spans))
@@ -60,7 +60,7 @@
 @click.pass_context
 def drop_schedule(context: click.Context, version: int) -> None:
     """Take the schedule VERSION back: all zones and times count alike."""
-    from brookreach.power.orders import Drop
+    from brookreach.carbon_aware.commands import Drop
 
     asked(*_group(context), "power", Drop(version), _in_force)
 
@@ -74,7 +74,7 @@
 @click.pass_context
 def gang(context: click.Context, gangs: Path, names: tuple[str, ...]) -> None:
     """Submit the gangs of GANGS, each for itself: one that is refused keeps none of the others."""
-    from brookreach.gangs.file import read
+    from brookreach.gang_scheduling.gang_file import read
 
     known = {one.gang: one for one in said(partial(read, gangs, time.time_ns() // 1_000_000))}
     for name in names:
@@ -97,8 +97,8 @@
 @click.pass_context
 def cancel(context: click.Context, name: str, reason: str) -> None:
     """End GANG; of one that has ended, take its rows away."""
-    from brookreach.gangs.orders import Cancel
-    from brookreach.gangs.rows import GANGS
+    from brookreach.gang_scheduling.commands import Cancel
+    from brookreach.gang_scheduling.tables import GANGS
 
     def text(view: View) -> str:
         row = view.get(GANGS, name)
@@ -116,8 +116,8 @@
 @click.pass_context
 def retire(context: click.Context, node: str, at: str) -> None:
     """NODE is taken away at the time AT, as in 2026-10-25T01:00:00+02:00; `withdraw`: it stays after all."""
-    from brookreach.outages.orders import RetirementNotice, RetirementWithdrawn
-    from brookreach.power.schedule import instant
+    from brookreach.carbon_aware.schedule_file import instant
+    from brookreach.disruption.commands import RetirementNotice, RetirementWithdrawn
 
     order: Order = RetirementWithdrawn(node)
     if at != "withdraw":
@@ -136,7 +136,7 @@
 
 
 def _release(build: int, view: View) -> str:
-    from brookreach.outages.rows import RELEASES
+    from brookreach.disruption.tables import RELEASES
 
     row = view.get(RELEASES, str(build))
     return f"build {build} {row.state}, stage {row.stage} of {len(row.shares)}" if row is not None else ""
@@ -153,7 +153,7 @@
 @click.pass_context
 def release(context: click.Context, build: int, **told: Any) -> None:
     """Begin the release of BUILD."""
-    from brookreach.outages.orders import BeginRelease
+    from brookreach.disruption.commands import BeginRelease
 
     asked(*_group(context), "outages", BeginRelease(build=build, **told), partial(_release, build))
 
@@ -164,7 +164,7 @@
 @click.pass_context
 def send_back(context: click.Context, build: int, reason: str) -> None:
     """BUILD goes back from any stage, and never returns."""
-    from brookreach.outages.orders import SendBack
+    from brookreach.disruption.commands import SendBack
 
     asked(*_group(context), "outages", SendBack(build, reason), partial(_release, build))
 
--- a/brookreach/cli/run.py
+++ b/brookreach/cli/run.py
@@ -41,8 +41,8 @@
         os.environ["PROXY_CONFIG"] = str(config)
     if fleet is None:
         sys.exit(marshal.serve(partial(writer, log), record))
+    from brookreach.disruption.balancer_client import Attendance
     from brookreach.files import BadFile
-    from brookreach.outages.attend import Attendance
 
     try:
         beside = partial(Attendance, path=fleet, restarts=ask_restart)
--- a/brookreach/cli/scale_control.py
+++ b/brookreach/cli/scale_control.py
@@ -55,7 +55,7 @@
 
 def gathered(runs: Iterator[Run]) -> tuple[list[Run], str]:
     """What a scale test gives, and why it ended before it was through; "" where it was not."""
-    from brookreach.fleet.talk import NotHeard
+    from brookreach.coordination.client.one_shot import NotHeard
     from brookreach.scale.control_children import ChildFailed
     from brookreach.scale.control_cluster import NotSettled
 
@@ -238,7 +238,7 @@
 @JSON
 def counts(marshals: tuple[int, ...], nodes: tuple[int, ...], seed: int, as_json: bool) -> None:
     """Bytes and rows that marshals are told, exactly: the same code under a virtual clock, in one process."""
-    from brookreach.fleet.seams import Timing
+    from brookreach.coordination.ports import Timing
     from brookreach.scale import control_counts
 
     tell = progress("scale counts", as_json)
--- a/brookreach/cli/site.py
+++ b/brookreach/cli/site.py
@@ -15,7 +15,7 @@
     import anyio
 
     from brookreach.configuration import BadStart, object_at
-    from brookreach.drills.stand import Site
+    from brookreach.simulation.stand_ins import Site
 
     async def play(played: Site) -> None:
         with anyio.open_signal_receiver(signal.SIGINT, signal.SIGTERM) as signals:
--- a/brookreach/cli/talked.py
+++ b/brookreach/cli/talked.py
@@ -13,9 +13,9 @@
 import click
 
 if TYPE_CHECKING:
-    from brookreach.fleet.events import Answered
-    from brookreach.fleet.piece import Order, Row, View
-    from brookreach.fleet.talk import Talk
+    from brookreach.coordination.client.events import Answered
+    from brookreach.coordination.client.one_shot import Talk
+    from brookreach.coordination.state_machine.application import Order, Row, View
 
 File = click.Path(path_type=Path, dir_okay=False)
 WAIT = click.option(
@@ -26,9 +26,9 @@
 
 def said(call: Callable[[], Any]) -> Any:
     """What a command of the group does; its errors as one line and exit code 1."""
+    from brookreach.coordination.client.one_shot import NotHeard
+    from brookreach.coordination.ports import DiskError
     from brookreach.files import BadFile
-    from brookreach.fleet.seams import DiskError
-    from brookreach.fleet.talk import NotHeard
 
     words = (BadFile, DiskError, NotHeard)
     try:
@@ -57,7 +57,7 @@
     """`what` in a session of its own, that watches all that operators look at."""
     import anyio
 
-    from brookreach.fleet.talk import talk
+    from brookreach.coordination.client.one_shot import talk
 
     async def whole() -> Any:
         async with talk(file, operator(), "operator", tables(), wait_s) as one:
@@ -68,11 +68,11 @@
 
 def tables() -> dict[str, type[Row]]:
     """What operators look at. Not a schedule's rows, which are many and stand in its file."""
-    from brookreach.fleet import sessions
-    from brookreach.gangs.rows import GANGS, MEMBERS, ROOMS
-    from brookreach.outages.rows import ASSIGNED, BUDGETS, HALT, MARSHALS, NODES, PERMITS, RELEASES
-    from brookreach.power.rows import CURRENT, OFFERS
-    from brookreach.together import pieces
+    from brookreach.applications import pieces
+    from brookreach.carbon_aware.tables import CURRENT, OFFERS
+    from brookreach.coordination.state_machine import sessions
+    from brookreach.disruption.tables import ASSIGNED, BUDGETS, HALT, MARSHALS, NODES, PERMITS, RELEASES
+    from brookreach.gang_scheduling.tables import GANGS, MEMBERS, ROOMS
 
     known = {name: row for one in pieces() for name, row in one.tables.items()}
     known[sessions.SESSIONS] = sessions.TABLES[sessions.SESSIONS]
--- a/brookreach/fleet/mirror.py
+++ b/brookreach/coordination/client/cache.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from brookreach.fleet import words
-from brookreach.fleet.events import Changed, KeptOut
-from brookreach.fleet.piece import Put, Row
-from brookreach.fleet.tables import SUM, Misfit, Tables, TooLarge, trace
+from brookreach.coordination.client.events import Changed, KeptOut
+from brookreach.coordination.protocol import messages
+from brookreach.coordination.state_machine.application import Put, Row
+from brookreach.coordination.state_machine.tables import SUM, Misfit, Tables, TooLarge, trace
 
 MOST_STAGED = 1 << 20  # rows of a whole
 OLDER = 3  # wholes older than what is held, each in answer to a new Watch, until one is believed
@@ -34,7 +34,7 @@
     index: int
     total: bytes | None
     parts: int = 0
-    rows: list[words.Change] = field(default_factory=list)
+    rows: list[messages.Change] = field(default_factory=list)
 
 
 class Mirror:
@@ -84,7 +84,7 @@
         self.at_ms = max(self.at_ms, at_ms)
         return not back
 
-    def changes(self, message: words.Changes) -> list[Changed | KeptOut]:
+    def changes(self, message: messages.Changes) -> list[Changed | KeptOut]:
         self._not_twice(message)
         if self._anew:
             raise NotTaken("not what was asked", False)  # that is answered by the whole
@@ -98,7 +98,7 @@
         self._recent.append(hash(message))
         return told
 
-    def whole(self, message: words.Whole) -> list[Changed | KeptOut]:
+    def whole(self, message: messages.Whole) -> list[Changed | KeptOut]:
         self._not_twice(message)
         staged = self._staged
         if message.nth:
@@ -120,17 +120,17 @@
             return []
         held = {(one.table, one.key) for one in staged.rows}
         gone = [
-            words.Change(table, key, None)
+            messages.Change(table, key, None)
             for table in self.watched
             for key, _ in self.rows(table)
             if (table, key) not in held
         ]
-        gone += [words.Change(*place, None) for place in self.unread if place not in held]
+        gone += [messages.Change(*place, None) for place in self.unread if place not in held]
         told = self._laid([*gone, *staged.rows], staged.total, staged.index, whole=True)
         self._staged, self._anew = None, False
         return told
 
-    def _not_twice(self, message: words.Changes | words.Whole) -> None:
+    def _not_twice(self, message: messages.Changes | messages.Whole) -> None:
         if hash(message) in self._recent:
             raise NotTaken("old news", False)
 
@@ -143,7 +143,7 @@
                 raise self._misfit("older than held")
         self._older = 0
 
-    def _marked(self, rows: tuple[words.Change, ...], named: bool) -> list[words.Change]:
+    def _marked(self, rows: tuple[messages.Change, ...], named: bool) -> list[messages.Change]:
         """The rows without the marks before them (ring.py), which name all the tables where `named`."""
         count = next((nth for nth, one in enumerate(rows) if one.key), len(rows))
         names = tuple(one.table for one in rows[:count])
@@ -155,7 +155,7 @@
         self._watched(rows[count:])
         return list(rows[count:])
 
-    def _watched(self, rows: Iterable[words.Change]) -> None:
+    def _watched(self, rows: Iterable[messages.Change]) -> None:
         if any(one.table not in self._names or not one.key for one in rows):
             raise self._misfit("other tables")
 
@@ -163,7 +163,9 @@
         self._anew, self._staged = True, None
         return NotTaken(name, True)
 
-    def _laid(self, rows: list[words.Change], total: bytes | None, index: int, whole: bool) -> list[Changed | KeptOut]:
+    def _laid(
+        self, rows: list[messages.Change], total: bytes | None, index: int, whole: bool
+    ) -> list[Changed | KeptOut]:
         """All of it, if then the sum is as told; else nothing has changed."""
         before = [self._tables.standing(one.table, one.key) for one in rows]
         unread, traces = dict(self.unread), dict(self._traces)
@@ -176,7 +178,7 @@
                 made.append(self._tables.read(one.table, one.key, one.octets))
             except (Misfit, TooLarge) as error:  # what stood there is no longer so
                 self.unread[place], self._traces[place] = str(error), trace(one)
-                made.append((None, words.Change(one.table, one.key, None)))
+                made.append((None, messages.Change(one.table, one.key, None)))
                 events.append(KeptOut(one.table, one.key, str(error)))
         moved = self._tables.lay(made)
         ours = sum(self._tables.sums.values()) + sum(self._traces.values())
--- a/brookreach/fleet/client.py
+++ b/brookreach/coordination/client/client.py
@@ -11,16 +11,17 @@
 from collections import Counter
 from collections.abc import Collection, Mapping, Sequence
 
-from brookreach.fleet import events, words
-from brookreach.fleet.asks import MOST_ASKS, Asks, Misnumbered
-from brookreach.fleet.lease import Lease
-from brookreach.fleet.mirror import Mirror
-from brookreach.fleet.piece import Order, Row
-from brookreach.fleet.seams import Timing
-from brookreach.fleet.seek import Seek
-from brookreach.fleet.session_holder import NotHeld as NotHeld
-from brookreach.fleet.session_holder import SessionHolder
-from brookreach.fleet.watching import Watching
+from brookreach.coordination.client import events
+from brookreach.coordination.client.cache import Mirror
+from brookreach.coordination.client.leader_discovery import Seek
+from brookreach.coordination.client.lease import Lease
+from brookreach.coordination.client.requests import MOST_ASKS, Asks, Misnumbered
+from brookreach.coordination.client.session_holder import NotHeld as NotHeld
+from brookreach.coordination.client.session_holder import SessionHolder
+from brookreach.coordination.client.watch import Watching
+from brookreach.coordination.ports import Timing
+from brookreach.coordination.protocol import messages
+from brookreach.coordination.state_machine.application import Order, Row
 
 
 class Client(SessionHolder):
@@ -29,7 +30,7 @@
     def __init__(
         self,
         name: str,
-        kind: words.Kind,
+        kind: messages.Kind,
         keepers: Sequence[str],
         timing: Timing,
         chance: random.Random,
@@ -49,7 +50,7 @@
         self._watching = Watching(self.mirror, timing, chance, self.refusals)
         self._answer_by: float | None = None  # to a Join or Renew, else another keeper is tried
         self._lost, self._left = 0, False  # the session that was lost last; left for good
-        self._out: list[tuple[str, words.Body]] = []
+        self._out: list[tuple[str, messages.Body]] = []
         self._news: list[events.Event] = []
 
     # --- what its owner asks ---
@@ -69,7 +70,7 @@
         self._lose(now, "left")
         self._news += self._asks.over("left")
 
-    def out(self) -> list[tuple[str, words.Body]]:
+    def out(self) -> list[tuple[str, messages.Body]]:
         out, self._out = self._out, []
         return out
 
@@ -86,19 +87,19 @@
 
     # --- what happens to it ---
 
-    def hear(self, now: float, source: str, message: words.Body) -> None:
+    def hear(self, now: float, source: str, message: messages.Body) -> None:
         self._expire(now)
         if not self.keeper or source != self.keeper:
             self.refusals["not asked"] += 1
-        elif isinstance(message, words.Sorry):
+        elif isinstance(message, messages.Sorry):
             self._hear_sorry(now, message)
-        elif isinstance(message, words.Joined) and not self.joined:
+        elif isinstance(message, messages.Joined) and not self.joined:
             self._hear_joined(now, message)
-        elif isinstance(message, words.Renewed) and self.joined:
+        elif isinstance(message, messages.Renewed) and self.joined:
             self._hear_renewed(message)
-        elif isinstance(message, words.Done) and self.joined:
+        elif isinstance(message, messages.Done) and self.joined:
             self._hear_done(message)
-        elif isinstance(message, words.Changes | words.Whole) and self.joined:
+        elif isinstance(message, messages.Changes | messages.Whole) and self.joined:
             self._news += self._watching.hear(now, message)
         else:
             self.refusals["not asked"] += 1
@@ -116,7 +117,7 @@
             self._move(now)
         if not self.keeper and not self._left and now >= self._seek.at_ms:
             self.keeper = self._seek.next()
-            self._say(words.Join(self.name, self.kind, self.session, self.version))
+            self._say(messages.Join(self.name, self.kind, self.session, self.version))
             self._answer_by = now + self._timing.lease_ms / 4
         self._fly(now)
 
@@ -131,12 +132,12 @@
             if message is not None:
                 self._say(message)
 
-    def _say(self, message: words.Body) -> None:
+    def _say(self, message: messages.Body) -> None:
         self._out.append((self.keeper, message))
 
     # --- its session ---
 
-    def _hear_joined(self, now: float, message: words.Joined) -> None:
+    def _hear_joined(self, now: float, message: messages.Joined) -> None:
         again = bool(self.session)
         fits = message.session == self.session if again else message.session not in (0, self._lost)
         if not fits or self._lease.absurd(message.lease_ms):
@@ -151,7 +152,7 @@
         self._watching.begin(now)
         self._news.append(events.Joined(self.session, self.keeper, again))
 
-    def _hear_renewed(self, message: words.Renewed) -> None:
+    def _hear_renewed(self, message: messages.Renewed) -> None:
         if not self._lease.flies(message.seq):
             self.refusals["unknown seq"] += 1
         elif self._lease.absurd(message.lease_ms):
@@ -176,7 +177,7 @@
         if self.session:
             self._lost = self.session
             if self.keeper and not told:
-                self._say(words.Leave(self.session))
+                self._say(messages.Leave(self.session))
             self._lease.ended()
             self._news.append(events.SessionLost(self._lost, why))
             self._news += self._asks.over(why)
@@ -187,13 +188,13 @@
         """Away from its keeper, for now or to the one that is named."""
         here, self.keeper, self.joined, self._answer_by = self.keeper, "", False, None
         self._lease.dropped()
-        self._out = [(to, body) for to, body in self._out if to != here or isinstance(body, words.Leave)]
+        self._out = [(to, body) for to, body in self._out if to != here or isinstance(body, messages.Leave)]
         self._asks.dropped()
         self._seek.later(now, self._timing.lease_ms / (6 if self.session else 1), named, come_back_ms)
 
     # --- answers to what it asked ---
 
-    def _hear_done(self, message: words.Done) -> None:
+    def _hear_done(self, message: messages.Done) -> None:
         if not self._asks.flies(message.seq):
             self.refusals["unknown seq"] += 1
         elif message.index <= self.session:  # an answer of an earlier session
@@ -202,7 +203,7 @@
             self._seek.went_well()
             self._news.append(self._asks.done(message))
 
-    def _hear_sorry(self, now: float, message: words.Sorry) -> None:
+    def _hear_sorry(self, now: float, message: messages.Sorry) -> None:
         renews, asks = self._lease.flies(message.seq), self._asks.flies(message.seq)
         if message.seq and not renews and not asks:
             self.refusals["unknown seq"] += 1
@@ -226,7 +227,7 @@
         else:
             self._hear_turned_away(now, message)
 
-    def _hear_turned_away(self, now: float, message: words.Sorry) -> None:
+    def _hear_turned_away(self, now: float, message: messages.Sorry) -> None:
         """About a Watch, where it has joined, else a Join."""
         if message.why != "busy":
             self._news.append(events.TurnedAway(message.why, message.text))
@@ -235,7 +236,7 @@
         else:
             self._move(now, "", int(self._timing.lease_ms))
 
-    def _hear_not_asked(self, now: float, message: words.Sorry) -> None:
+    def _hear_not_asked(self, now: float, message: messages.Sorry) -> None:
         try:
             if (answered := self._asks.sorry(now, message)) is not None:
                 self._news.append(answered)
--- a/brookreach/fleet/dial.py
+++ b/brookreach/coordination/client/connection.py
@@ -15,10 +15,11 @@
 import anyio
 import anyio.abc
 
-from brookreach.fleet import seal, words
-from brookreach.fleet.client import Client
-from brookreach.fleet.events import Event
-from brookreach.fleet.stream import BOUNDS, LOST, Bounds, Inbox, Line, TooLong, frames
+from brookreach.coordination.client.client import Client
+from brookreach.coordination.client.events import Event
+from brookreach.coordination.protocol import frames as seal
+from brookreach.coordination.protocol import messages
+from brookreach.coordination.protocol.stream import BOUNDS, LOST, Bounds, Inbox, Line, TooLong, frames
 
 MOST_REST_S = 5.0  # a clock that stands still is looked at again
 
@@ -88,7 +89,7 @@
             client.lost(now_ms(), call.keeper)
         client.passed(now_ms())
         for keeper, body in client.out():
-            if isinstance(body, words.Join):
+            if isinstance(body, messages.Join):
                 self._dial(tasks, keeper)
             if self.call is not None and keeper == self.call.keeper:
                 self.call.line.put(seal.sealed(self.key, self.group, client.name, keeper, body))
@@ -124,12 +125,12 @@
     async def _read(self, call: Call, stream: anyio.abc.ByteStream) -> None:
         """Until it ends, or says what no keeper can."""
         try:
-            async for octets in frames(stream, words.MOST_FRAME):
+            async for octets in frames(stream, messages.MOST_FRAME):
                 try:
-                    frame = seal.opened(self.key, self.group, self.client.name, octets, words.TOLD)
+                    frame = seal.opened(self.key, self.group, self.client.name, octets, messages.TOLD)
                     if frame.source != call.keeper:
-                        raise words.Refused("not its to say", f"{frame.source} where {call.keeper} speaks")
-                except words.Refused as error:
+                        raise messages.Refused("not its to say", f"{frame.source} where {call.keeper} speaks")
+                except messages.Refused as error:
                     self.refused[error.name] += 1
                     if error.name == "bad seal":
                         return
--- a/brookreach/fleet/events.py
+++ b/brookreach/coordination/client/events.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from brookreach.fleet.piece import Put
+from brookreach.coordination.state_machine.application import Put
 
 
 @dataclass(frozen=True, slots=True)
--- a/brookreach/fleet/seek.py
+++ b/brookreach/coordination/client/leader_discovery.py
@@ -9,7 +9,7 @@
 import random
 from collections.abc import Sequence
 
-from brookreach.fleet.seams import Timing
+from brookreach.coordination.ports import Timing
 
 MOST_DOUBLED = 12
 WAIT = 10  # leases: a keeper that says to come back later than that is not believed
--- a/brookreach/fleet/lease.py
+++ b/brookreach/coordination/client/lease.py
@@ -9,8 +9,8 @@
 
 import random
 
-from brookreach.fleet import words
-from brookreach.fleet.seams import Timing
+from brookreach.coordination.ports import Timing
+from brookreach.coordination.protocol import messages
 
 APART = 10  # a lease told so many times as long or short as our own is no lease
 RENEWS = 1 << 52  # Renews are numbered from here, Asks below; the first is drawn, so that none comes twice
@@ -52,12 +52,12 @@
     def wake_ms(self) -> float | None:
         return self._at
 
-    def fly(self, now: float) -> words.Renew | None:
+    def fly(self, now: float) -> messages.Renew | None:
         if self._at is None or now < self._at:
             return None
         self._last += 1
         self._out, self._at = now, None
-        return words.Renew(self.session, self._last)
+        return messages.Renew(self.session, self._last)
 
     def flies(self, seq: int) -> bool:
         return self._out is not None and seq == self._last
--- a/brookreach/fleet/talk.py
+++ b/brookreach/coordination/client/one_shot.py
@@ -12,11 +12,12 @@
 
 import anyio
 
-from brookreach.fleet import config, words
-from brookreach.fleet.client import Client
-from brookreach.fleet.dial import Dial, now_ms
-from brookreach.fleet.events import Answered, Changed, Event, Joined, SessionLost, TurnedAway, Unknown
-from brookreach.fleet.piece import Order, Row, View
+from brookreach.coordination import configuration
+from brookreach.coordination.client.client import Client
+from brookreach.coordination.client.connection import Dial, now_ms
+from brookreach.coordination.client.events import Answered, Changed, Event, Joined, SessionLost, TurnedAway, Unknown
+from brookreach.coordination.protocol import messages
+from brookreach.coordination.state_machine.application import Order, Row, View
 
 BEHIND_S = 0.3
 
@@ -28,10 +29,10 @@
 class Talk:
     def __init__(
         self,
-        told: config.FleetFile,
+        told: configuration.FleetFile,
         key: bytes,
         name: str,
-        kind: words.Kind,
+        kind: messages.Kind,
         tables: Mapping[str, type[Row]],
         wait_s: float,
     ):
@@ -92,11 +93,11 @@
 
 @contextlib.asynccontextmanager
 async def talk(
-    path: Path, name: str, kind: words.Kind, tables: Mapping[str, type[Row]], wait_s: float
+    path: Path, name: str, kind: messages.Kind, tables: Mapping[str, type[Row]], wait_s: float
 ) -> AsyncIterator[Talk]:
     """Raises BadFile."""
-    told = config.read(path)
-    one = Talk(told, config.read_key(path, told), name, kind, tables, wait_s)
+    told = configuration.read(path)
+    one = Talk(told, configuration.read_key(path, told), name, kind, tables, wait_s)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(one.dial.run)
         try:
--- a/brookreach/fleet/asks.py
+++ b/brookreach/coordination/client/requests.py
@@ -13,12 +13,12 @@
 
 import msgspec
 
-from brookreach.fleet import words
-from brookreach.fleet.events import Answered, Unknown
-from brookreach.fleet.piece import Order
-from brookreach.fleet.seams import Timing
-from brookreach.fleet.seek import Pauses
-from brookreach.fleet.sessions import SPARE
+from brookreach.coordination.client.events import Answered, Unknown
+from brookreach.coordination.client.leader_discovery import Pauses
+from brookreach.coordination.ports import Timing
+from brookreach.coordination.protocol import messages
+from brookreach.coordination.state_machine.application import Order
+from brookreach.coordination.state_machine.sessions import SPARE
 
 MOST_ASKS = 64
 
@@ -54,8 +54,8 @@
 
     def add(self, piece: str, version: int, order: Order) -> int:
         body = _out.encode(order)
-        if len(body) > words.MOST_RECORD - SPARE:
-            raise ValueError(f"an order of {len(body)} bytes; {words.MOST_RECORD - SPARE} are allowed")
+        if len(body) > messages.MOST_RECORD - SPARE:
+            raise ValueError(f"an order of {len(body)} bytes; {messages.MOST_RECORD - SPARE} are allowed")
         if len(self._queue) >= self._most:
             raise TooMany(f"{len(self._queue)} questions wait for the group; {self._most} are allowed")
         self._count += 1
@@ -65,23 +65,23 @@
     def wake_ms(self) -> float | None:
         return self._at if self._queue else None
 
-    def fly(self, now: float, session: int) -> words.Ask | None:
+    def fly(self, now: float, session: int) -> messages.Ask | None:
         """What is to be sent now. One without an answer for a lease is sent again under its number."""
         if not self._queue or (self._at is not None and now < self._at):
             return None
         one = self._queue[0]
         one.doubtful = one.doubtful or one.flying
         one.flying, self._at = True, now + self._again
-        return words.Ask(session, self._wire, one.piece, one.version, one.body)
+        return messages.Ask(session, self._wire, one.piece, one.version, one.body)
 
     def flies(self, seq: int) -> bool:
         return bool(self._queue) and self._queue[0].flying and seq == self._wire
 
-    def done(self, message: words.Done) -> Answered:
+    def done(self, message: messages.Done) -> Answered:
         self._wire += 1
         return self._answered(message.ok, message.text, message.index)
 
-    def sorry(self, now: float, message: words.Sorry) -> Answered | None:
+    def sorry(self, now: float, message: messages.Sorry) -> Answered | None:
         """None: it is asked again. That it was refused before it got into the log is believed at the second
         time: the first may be about another question that once had the number."""
         one = self._queue[0]
--- a/brookreach/fleet/session_holder.py
+++ b/brookreach/coordination/client/session_holder.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from brookreach.fleet.lease import Lease
+from brookreach.coordination.client.lease import Lease
 
 
 class NotHeld(Exception):
--- a/brookreach/fleet/watching.py
+++ b/brookreach/coordination/client/watch.py
@@ -9,11 +9,11 @@
 import random
 from collections import Counter
 
-from brookreach.fleet import words
-from brookreach.fleet.events import Changed, KeptOut
-from brookreach.fleet.mirror import Mirror, NotTaken
-from brookreach.fleet.seams import Timing
-from brookreach.fleet.seek import WAIT, Pauses
+from brookreach.coordination.client.cache import Mirror, NotTaken
+from brookreach.coordination.client.events import Changed, KeptOut
+from brookreach.coordination.client.leader_discovery import WAIT, Pauses
+from brookreach.coordination.ports import Timing
+from brookreach.coordination.protocol import messages
 
 
 class Watching:
@@ -29,19 +29,19 @@
         """On a new connection."""
         self._at = now if self._mirror.watched else None
 
-    def fly(self, now: float, session: int) -> words.Watch | None:
+    def fly(self, now: float, session: int) -> messages.Watch | None:
         if self._at is None or now < self._at:
             return None
         self._at = now + 2 * self._lease
-        return words.Watch(session, self._mirror.asked(), self._mirror.watched)
+        return messages.Watch(session, self._mirror.asked(), self._mirror.watched)
 
-    def hear(self, now: float, message: words.Changes | words.Whole) -> list[Changed | KeptOut]:
+    def hear(self, now: float, message: messages.Changes | messages.Whole) -> list[Changed | KeptOut]:
         mirror = self._mirror
         if not mirror.watched:
             self._refusals["not asked"] += 1
             return []
         try:
-            told = mirror.changes(message) if isinstance(message, words.Changes) else mirror.whole(message)
+            told = mirror.changes(message) if isinstance(message, messages.Changes) else mirror.whole(message)
         except NotTaken as error:
             self._refusals[error.name] += 1
             if error.anew:
@@ -54,7 +54,7 @@
             self._at = now + 2 * self._lease  # the next part
         return told
 
-    def sorry(self, now: float, message: words.Sorry) -> None:
+    def sorry(self, now: float, message: messages.Sorry) -> None:
         if self._at is None:
             self._refusals["not asked"] += 1
         elif message.why == "busy":
--- a/brookreach/fleet/config.py
+++ b/brookreach/coordination/configuration.py
@@ -15,9 +15,9 @@
 
 import msgspec
 
+from brookreach.coordination.ports import Timing
+from brookreach.coordination.protocol import messages
 from brookreach.files import BadFile, checked, read_bounded, read_toml
-from brookreach.fleet import words
-from brookreach.fleet.seams import Timing
 from brookreach.net.stream import address
 
 LEAST_KEY, MOST_KEY = 32, 4096  # bytes
@@ -36,7 +36,7 @@
 class GroupPart(Part, frozen=True):
     """[group]: its name, and where its key stands (beside this file, unless the path is absolute)."""
 
-    name: words.Name
+    name: messages.Name
     key: str
     beyond_loopback: bool = False  # keepers may listen elsewhere; what is said is sealed, not hidden
 
@@ -55,7 +55,7 @@
 class KeeperPart(Part, frozen=True):
     """[[keeper]]: one that may hold a seat, where it listens, and the folder of its disk."""
 
-    name: words.Name
+    name: messages.Name
     listen: str
     disk: str
 
@@ -73,7 +73,7 @@
     """The whole file."""
 
     group: GroupPart
-    keeper: Annotated[tuple[KeeperPart, ...], msgspec.Meta(min_length=1, max_length=words.MOST_SEATS)]
+    keeper: Annotated[tuple[KeeperPart, ...], msgspec.Meta(min_length=1, max_length=messages.MOST_SEATS)]
     timing: TimingPart = TimingPart()
     budget: tuple[BudgetPart, ...] = ()
 
--- a/brookreach/fleet/seams.py
+++ b/brookreach/coordination/ports.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from brookreach.fleet import words
+from brookreach.coordination.protocol import messages
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,7 +46,7 @@
     index: int = 0  # of the snapshot; 0: none
     index_term: int = 0
     snapshot: bytes = b""
-    entries: tuple[words.Entry, ...] = ()  # after the snapshot
+    entries: tuple[messages.Entry, ...] = ()  # after the snapshot
 
 
 @dataclass(slots=True)
@@ -56,7 +56,7 @@
     term: int
     vote: str
     after: int  # entries past this place go; then `entries` are added
-    entries: list[words.Entry] = field(default_factory=list)
+    entries: list[messages.Entry] = field(default_factory=list)
     snapshot: tuple[int, int, tuple[str, ...], bytes] | None = None  # index, term, seats, octets
 
 
@@ -65,9 +65,9 @@
     """What has come of the calls since the last: first save, then send, then apply, in this order."""
 
     save: Save | None = None
-    send: list[tuple[str, words.Body]] = field(default_factory=list)
+    send: list[tuple[str, messages.Body]] = field(default_factory=list)
     restore: tuple[int, bytes] | None = None  # a snapshot to go on from
-    apply: list[words.Entry] = field(default_factory=list)
+    apply: list[messages.Entry] = field(default_factory=list)
     reads: list[tuple[int, int]] = field(default_factory=list)  # ticket, the place that must be applied first
 
 
@@ -88,14 +88,14 @@
 class Stamped(msgspec.Struct, frozen=True, forbid_unknown_fields=True, array_like=True):
     """A record as it stands in an entry's octets: whose it is, who asked, at which agreed time."""
 
-    piece: words.Name
-    version: words.Count
-    at_ms: words.Count
+    piece: messages.Name
+    version: messages.Count
+    at_ms: messages.Count
     by: str  # the client's name, or "" for the group itself
     kind: str
-    session: words.Count
-    seq: words.Count
-    body: words.Record  # one Order of the piece, in msgpack
+    session: messages.Count
+    seq: messages.Count
+    body: messages.Record  # one Order of the piece, in msgpack
 
 
 @dataclass(frozen=True, slots=True)
@@ -107,5 +107,5 @@
     seq: int
     ok: bool
     text: str
-    changes: tuple[words.Change, ...]
-    why: words.Why | None = None  # not taken as a record at all: the client hears Sorry, not Done
+    changes: tuple[messages.Change, ...]
+    why: messages.Why | None = None  # not taken as a record at all: the client hears Sorry, not Done
--- a/brookreach/fleet/seal.py
+++ b/brookreach/coordination/protocol/frames.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from brookreach.fleet.words import MOST_FRAME, TABLE, Body, Count, Name, Refused
+from brookreach.coordination.protocol.messages import MOST_FRAME, TABLE, Body, Count, Name, Refused
 
 VERSION = 1  # of frames; records have versions of their own
 SEAL = 16  # bytes of HMAC-SHA-256 before a frame
--- a/brookreach/fleet/stream.py
+++ b/brookreach/coordination/protocol/stream.py
@@ -14,7 +14,7 @@
 import anyio.abc
 import anyio.lowlevel
 
-from brookreach.fleet import words
+from brookreach.coordination.protocol import messages
 
 HEAD = 4  # bytes of length
 LOST = (OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)  # and TimeoutError
@@ -29,7 +29,7 @@
     hello_s: float = 2.0  # within which they have to
     dial_s: float = 1.0
     stalled_s: float = 5.0  # a peer that takes nothing for so long has gone
-    asked: int = words.MOST_RECORD + 4096  # the longest frame of a client
+    asked: int = messages.MOST_RECORD + 4096  # the longest frame of a client
     to_client: int = 4 << 20  # past it the client is cut off: it comes again and is told the whole
     behind: int = 512 << 10  # past it nothing more of what it watches is put there
     to_keeper: int = 8 << 20  # past it the oldest is dropped: what it said is said again
@@ -129,17 +129,17 @@
 
     def __init__(self, most: int):
         self.most = most
-        self.keepers: deque[tuple[str, words.Body]] = deque()
-        self.clients: deque[tuple[str, words.Body]] = deque()
+        self.keepers: deque[tuple[str, messages.Body]] = deque()
+        self.clients: deque[tuple[str, messages.Body]] = deque()
         self.came, self.room = anyio.Event(), anyio.Event()
 
-    async def put(self, queue: deque[tuple[str, words.Body]], source: str, body: words.Body) -> None:
+    async def put(self, queue: deque[tuple[str, messages.Body]], source: str, body: messages.Body) -> None:
         while len(queue) >= self.most:
             await self.room.wait()
         queue.append((source, body))
         self.came.set()
 
-    def take(self, most: int) -> list[tuple[str, words.Body]]:
+    def take(self, most: int) -> list[tuple[str, messages.Body]]:
         """All of the keepers', then so many of the clients'."""
         told = list(self.keepers)
         self.keepers.clear()
--- a/brookreach/fleet/election.py
+++ b/brookreach/coordination/raft/election.py
@@ -6,8 +6,8 @@
 
 from __future__ import annotations
 
-from brookreach.fleet.core import FOLLOWS, LEADS, STANDS, TRIES, Core
-from brookreach.fleet.words import AskVote, HandOver, Vote
+from brookreach.coordination.protocol.messages import AskVote, HandOver, Vote
+from brookreach.coordination.raft.node_state import FOLLOWS, LEADS, STANDS, TRIES, Core
 
 
 class Election:
--- a/brookreach/fleet/follow.py
+++ b/brookreach/coordination/raft/follower.py
@@ -6,10 +6,10 @@
 
 from __future__ import annotations
 
-from brookreach.fleet.core import FOLLOWS, LEADS, Core
-from brookreach.fleet.members import listed
-from brookreach.fleet.transfer import Taking, Torn
-from brookreach.fleet.words import Append, Appended, Entry, Part, PartGot
+from brookreach.coordination.protocol.messages import Append, Appended, Entry, Part, PartGot
+from brookreach.coordination.raft.membership import listed
+from brookreach.coordination.raft.node_state import FOLLOWS, LEADS, Core
+from brookreach.coordination.raft.snapshot_transfer import Taking, Torn
 
 
 def misshapen(append: Append) -> str | None:
--- a/brookreach/fleet/log.py
+++ b/brookreach/coordination/raft/log.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Iterable
 
-from brookreach.fleet.words import MOST_ENTRIES, MOST_FRAME, Entry
+from brookreach.coordination.protocol.messages import MOST_ENTRIES, MOST_FRAME, Entry
 
 TAIL = 1024  # entries kept in memory before a snapshot, so that one slightly behind needs no whole
 MOST_BYTES = MOST_FRAME // 2  # of entries in one Append
--- a/brookreach/fleet/members.py
+++ b/brookreach/coordination/raft/membership.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from brookreach.fleet.seams import Stamped
-from brookreach.fleet.words import MOST_SEATS, Entry, Name
+from brookreach.coordination.ports import Stamped
+from brookreach.coordination.protocol.messages import MOST_SEATS, Entry, Name
 
 PIECE, VERSION = "seats", 1
 HEAD = b"\x98\xa5seats"  # how a Stamped of this piece begins in msgpack
--- a/brookreach/fleet/raft.py
+++ b/brookreach/coordination/raft/node.py
@@ -11,14 +11,24 @@
 import random
 from collections import Counter
 
-from brookreach.fleet import members
-from brookreach.fleet.core import LEADS, MOST_JUMP, Core
-from brookreach.fleet.election import Election
-from brookreach.fleet.follow import Follower
-from brookreach.fleet.replicate import Leading
-from brookreach.fleet.seams import DiskError, Kept, Ready, Timing
-from brookreach.fleet.transfer import Snapshot
-from brookreach.fleet.words import MOST_RECORD, Append, Appended, AskVote, Body, HandOver, Part, PartGot, Vote
+from brookreach.coordination.ports import DiskError, Kept, Ready, Timing
+from brookreach.coordination.protocol.messages import (
+    MOST_RECORD,
+    Append,
+    Appended,
+    AskVote,
+    Body,
+    HandOver,
+    Part,
+    PartGot,
+    Vote,
+)
+from brookreach.coordination.raft import membership
+from brookreach.coordination.raft.election import Election
+from brookreach.coordination.raft.follower import Follower
+from brookreach.coordination.raft.node_state import LEADS, MOST_JUMP, Core
+from brookreach.coordination.raft.replication import Leading
+from brookreach.coordination.raft.snapshot_transfer import Snapshot
 
 
 class Raft:
@@ -168,7 +178,7 @@
             return None
         if core.log.last - core.commit >= core.timing.most_queued:
             return None
-        if not 1 <= len(octets) <= MOST_RECORD or octets.startswith(members.HEAD):
+        if not 1 <= len(octets) <= MOST_RECORD or octets.startswith(membership.HEAD):
             core.refuse("a record that can't be")
             return None
         return self.leading.add(octets)
@@ -191,10 +201,10 @@
         core.at(now)
         if self.leading is None or not self.leading.settled():
             return None
-        if not members.proper(seats) or not members.one_apart(seats, core.seats):
+        if not membership.proper(seats) or not membership.one_apart(seats, core.seats):
             core.refuse("seats that can't be")
             return None
-        place = self.leading.add(members.record(seats, at_ms))
+        place = self.leading.add(membership.record(seats, at_ms))
         self.leading.seat(place)
         return place
 
--- a/brookreach/fleet/core.py
+++ b/brookreach/coordination/raft/node_state.py
@@ -11,11 +11,11 @@
 from collections import Counter
 from collections.abc import Iterable
 
-from brookreach.fleet.log import Log
-from brookreach.fleet.members import Members
-from brookreach.fleet.seams import Kept, Ready, Save, Timing
-from brookreach.fleet.transfer import Snapshot
-from brookreach.fleet.words import AskVote, Body, Entry
+from brookreach.coordination.ports import Kept, Ready, Save, Timing
+from brookreach.coordination.protocol.messages import AskVote, Body, Entry
+from brookreach.coordination.raft.log import Log
+from brookreach.coordination.raft.membership import Members
+from brookreach.coordination.raft.snapshot_transfer import Snapshot
 
 FOLLOWS, TRIES, STANDS, LEADS = "follows", "tries", "stands", "leads"
 MOST_JUMP = 1 << 32  # terms a message may be ahead: one changed word must not use the terms up
--- a/brookreach/fleet/peers.py
+++ b/brookreach/coordination/raft/progress.py
@@ -8,8 +8,8 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from brookreach.fleet.transfer import Sending
-from brookreach.fleet.words import Appended, PartGot
+from brookreach.coordination.protocol.messages import Appended, PartGot
+from brookreach.coordination.raft.snapshot_transfer import Sending
 
 WINDOW = 8  # Appends with entries under way to one follower
 PATIENCE = 2  # beats without an answer, until entries or a part are sent again
--- a/brookreach/fleet/replicate.py
+++ b/brookreach/coordination/raft/replication.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass
 from typing import TypeVar
 
-from brookreach.fleet.core import LEADS, Core
-from brookreach.fleet.peers import PATIENCE, Peer
-from brookreach.fleet.transfer import Sending
-from brookreach.fleet.words import Append, Appended, Entry, HandOver, PartGot
+from brookreach.coordination.protocol.messages import Append, Appended, Entry, HandOver, PartGot
+from brookreach.coordination.raft.node_state import LEADS, Core
+from brookreach.coordination.raft.progress import PATIENCE, Peer
+from brookreach.coordination.raft.snapshot_transfer import Sending
 
 Figure = TypeVar("Figure", int, float)
 
--- a/brookreach/fleet/transfer.py
+++ b/brookreach/coordination/raft/snapshot_transfer.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from brookreach.fleet import members
-from brookreach.fleet.words import MOST_PART, Count, Part
+from brookreach.coordination.protocol.messages import MOST_PART, Count, Part
+from brookreach.coordination.raft import membership
 
 MOST_SNAPSHOT = 1 << 28  # bytes of one that a follower collects
 
@@ -34,7 +34,7 @@
 class _Packed(msgspec.Struct, frozen=True, forbid_unknown_fields=True, array_like=True):
     index: Count
     term: Count
-    seats: members.Seats
+    seats: membership.Seats
     octets: bytes
 
 
@@ -55,7 +55,7 @@
         packed = _packed.decode(octets[_SUM:])
     except msgspec.DecodeError:
         raise Torn("a snapshot that can't be read") from None
-    if (packed.index, packed.term) != (index, term) or not members.proper(packed.seats):
+    if (packed.index, packed.term) != (index, term) or not membership.proper(packed.seats):
         raise Torn("a snapshot of another place")
     return Snapshot(packed.index, packed.term, packed.seats, packed.octets)
 
--- a/brookreach/fleet/ring.py
+++ b/brookreach/coordination/server/change_feed.py
@@ -15,18 +15,18 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from brookreach.fleet import words
-from brookreach.fleet.machine import Machine
-from brookreach.fleet.tables import SUM, weight
+from brookreach.coordination.protocol import messages
+from brookreach.coordination.state_machine.machine import Machine
+from brookreach.coordination.state_machine.tables import SUM, weight
 
 MARKS = 64  # watched tables, at most, as words.Watch
-Rows = tuple[words.Change, ...]
+Rows = tuple[messages.Change, ...]
 Names = tuple[str, ...]
 
 
 def marked(names: Collection[str], total: int) -> Rows:
     octets = (total % (1 << 8 * SUM)).to_bytes(SUM, "big")
-    return tuple(words.Change(one, "", None if nth else octets) for nth, one in enumerate(names))
+    return tuple(messages.Change(one, "", None if nth else octets) for nth, one in enumerate(names))
 
 
 class Step(NamedTuple):
@@ -106,7 +106,7 @@
             if step.place <= seen:
                 break
             later.append(step)
-        rows: dict[tuple[str, str], words.Change] = {}
+        rows: dict[tuple[str, str], messages.Change] = {}
         last: dict[tuple[str, str], int] = {}  # what each row weighs at the end
         octets, upto, full = 0, seen, False
         total = sum(self._sums[one] for one in names)
@@ -114,7 +114,7 @@
             mine = [one for one in step.changes if one.table in names]
             size = sum(weight(one) for one in mine)
             last.update(((one.table, one.key), weight(one)) for one in mine)
-            many = len(rows) + len(mine) > words.MOST_ROWS - MARKS
+            many = len(rows) + len(mine) > messages.MOST_ROWS - MARKS
             full = full or many or octets + size > self._most_bytes
             if full:
                 total -= sum(step.moved.get(one, 0) for one in names)
@@ -136,7 +136,7 @@
             for name in names:
                 for one in self._machine.view.changes(name):
                     size = weight(one)
-                    if len(part) >= words.MOST_ROWS or octets + size > self._most_bytes:
+                    if len(part) >= messages.MOST_ROWS or octets + size > self._most_bytes:
                         parts.append((tuple(part), octets))
                         part, octets = [], 0
                     part.append(one)
--- a/brookreach/fleet/lead.py
+++ b/brookreach/coordination/server/leader.py
@@ -13,14 +13,15 @@
 from collections.abc import Sequence
 from functools import partial
 
-from brookreach.fleet import sessions, words
-from brookreach.fleet.flights import Flights, Flying, Say, Wrong, moved, rows_of, sorry
-from brookreach.fleet.machine import Machine
-from brookreach.fleet.raft import Raft
-from brookreach.fleet.seams import Applied, Timing
-from brookreach.fleet.sessions import ANSWERS, SEATS, SESSIONS
-from brookreach.fleet.term import Term
-from brookreach.fleet.watch import Watches
+from brookreach.coordination.ports import Applied, Timing
+from brookreach.coordination.protocol import messages
+from brookreach.coordination.raft.node import Raft
+from brookreach.coordination.server.leader_term import Term
+from brookreach.coordination.server.proposals import Flights, Flying, Say, Wrong, moved, rows_of, sorry
+from brookreach.coordination.server.watches import Watches
+from brookreach.coordination.state_machine import sessions
+from brookreach.coordination.state_machine.machine import Machine
+from brookreach.coordination.state_machine.sessions import ANSWERS, SEATS, SESSIONS
 
 
 class Lead(Term):
@@ -41,16 +42,16 @@
         self.keepers, self.say, self.sorry = keepers, say, partial(sorry, say)
         self.here: dict[str, int] = {}  # sessions by clients that joined on their present connection
         self.flights = Flights()
-        self.asked: list[tuple[str, words.Body]] = []  # until the next round
-        self.round, self.in_round = 0, list[tuple[str, words.Body]]()
+        self.asked: list[tuple[str, messages.Body]] = []  # until the next round
+        self.round, self.in_round = 0, list[tuple[str, messages.Body]]()
 
     # --- what is heard ---
 
-    def hear(self, now: float, source: str, body: words.Body) -> None:
+    def hear(self, now: float, source: str, body: messages.Body) -> None:
         match body:
-            case words.Join(session=0) | words.Leave() if self.open:
+            case messages.Join(session=0) | messages.Leave() if self.open:
                 self._sure(now, source, body)
-            case words.Ask() if self.open and self._is_next(source, body):
+            case messages.Ask() if self.open and self._is_next(source, body):
                 self._sure(now, source, body)
             case _ if len(self.asked) >= self.timing.most_queued:
                 self._busy(source, body)
@@ -69,25 +70,25 @@
             for source, body in sure:
                 self._sure(now, source, body)
 
-    def _sure(self, now: float, source: str, body: words.Body) -> None:
+    def _sure(self, now: float, source: str, body: messages.Body) -> None:
         match body:
-            case words.Join():
+            case messages.Join():
                 self._join(now, source, body)
-            case words.Ask():
+            case messages.Ask():
                 self._ask(now, source, body)
-            case words.Read():
+            case messages.Read():
                 self._read(source, body)
-            case words.Leave(session=session):
+            case messages.Leave(session=session):
                 ended = sessions.Ended(session, "left")
                 if self.machine.holder(session) == source and self._propose(now, ended):
                     self.leases.gone(session)  # it lives no more
                     self.gone(source)
-            case words.Renew(session=session) | words.Watch(session=session):
+            case messages.Renew(session=session) | messages.Watch(session=session):
                 if not self._lives(now, source, session):
                     self._no_session(source, body, session)
-                elif isinstance(body, words.Renew):
+                elif isinstance(body, messages.Renew):
                     self.leases.renewed(now, session)
-                    self.say(source, words.Renewed(body.seq, int(self.timing.lease_ms), self.clock.at(now)))
+                    self.say(source, messages.Renewed(body.seq, int(self.timing.lease_ms), self.clock.at(now)))
                 elif wrong := self.watches.watch(source, body.tables, body.since):
                     self.sorry(source, body, "refused", wrong)
                 else:
@@ -105,18 +106,18 @@
             [*self.here, *self.flights.sources(), *(source for source, _ in self.in_round + self.asked)]
         ):
             self.watches.gone(source)
-            self.say(source, words.Sorry(0, "not leader", "no longer", leader, int(self.timing.beat_ms)))
+            self.say(source, messages.Sorry(0, "not leader", "no longer", leader, int(self.timing.beat_ms)))
 
-    def _no_session(self, source: str, body: words.Body, session: int) -> None:
+    def _no_session(self, source: str, body: messages.Body, session: int) -> None:
         self.sorry(source, body, "no session", f"session {session} is none of {source}")
 
-    def _busy(self, source: str, body: words.Body) -> None:
+    def _busy(self, source: str, body: messages.Body) -> None:
         text = f"{len(self.flights)} records and {len(self.asked)} questions wait"
         self.sorry(source, body, "busy", text, "", 4 * self.timing.beat_ms)
 
     # --- sessions ---
 
-    def _join(self, now: float, source: str, join: words.Join) -> None:
+    def _join(self, now: float, source: str, join: messages.Join) -> None:
         held, row = self.machine.session(source), self.machine.view.get(SESSIONS, source)
         if join.client != source:
             self.sorry(source, join, "refused", f"{source} may not join as {join.client}")
@@ -143,11 +144,11 @@
 
     def _joined(self, now: float, source: str, session: int) -> None:
         self.here[source] = session
-        self.say(source, words.Joined(session, int(self.timing.lease_ms), self.clock.at(now)))
+        self.say(source, messages.Joined(session, int(self.timing.lease_ms), self.clock.at(now)))
 
     # --- questions ---
 
-    def _is_next(self, source: str, ask: words.Ask) -> bool:
+    def _is_next(self, source: str, ask: messages.Ask) -> bool:
         last = self.machine.view.get(ANSWERS, source)
         return (
             last is not None
@@ -156,7 +157,7 @@
             and ask.seq == last.seq + self.flights.of(ask.session) + 1
         )
 
-    def _ask(self, now: float, source: str, ask: words.Ask) -> None:
+    def _ask(self, now: float, source: str, ask: messages.Ask) -> None:
         last = self.machine.view.get(ANSWERS, source)
         if last is None or last.session != ask.session:
             self._no_session(source, ask, ask.session)
@@ -165,7 +166,7 @@
         elif ask.piece == SEATS:
             self._seats(now, source, ask)
         elif ask.seq == last.seq and last.mark == sessions.mark(ask.piece, ask.version, ask.body):
-            self.say(source, words.Done(ask.seq, last.index, last.ok, last.text))
+            self.say(source, messages.Done(ask.seq, last.index, last.ok, last.text))
         elif not self._is_next(source, ask):
             self.sorry(source, ask, "out of order", f"question {ask.seq} after {last.seq}")
         elif misfit := self.machine.misfit(ask.piece, ask.version, ask.body):
@@ -175,13 +176,13 @@
             octets = sessions.asked(ask, self.clock.at(now), source, kind)
             self._fly(source, ask, self.raft.propose(now, octets), Flying(source, ask.session, ask.seq))
 
-    def _fly(self, source: str, body: words.Body, place: int | None, one: Flying) -> None:
+    def _fly(self, source: str, body: messages.Body, place: int | None, one: Flying) -> None:
         if place is None:  # the log is full, or the lead is being handed over
             self._busy(source, body)
         else:
             self.flights.begin(place, one)
 
-    def _seats(self, now: float, source: str, ask: words.Ask) -> None:
+    def _seats(self, now: float, source: str, ask: messages.Ask) -> None:
         """Beside a session's count of questions, since the machine knows of none: a session's last one. What
         is so already is answered by a record that changes nothing."""
         try:
@@ -194,7 +195,7 @@
         place = self._propose(now, sessions.Passed()) if so_already else self.raft.change(now, seats, at_ms)
         self._fly(source, ask, place, Flying(source, ask.session, ask.seq))
 
-    def _read(self, source: str, read: words.Read) -> None:
+    def _read(self, source: str, read: messages.Read) -> None:
         if self.machine.holder(self.here.get(source, 0)) != source:
             return self._no_session(source, read, 0)
         try:
@@ -202,11 +203,11 @@
         except Wrong as error:
             return self.sorry(source, read, "refused", str(error))
         for nth, part in enumerate(parts):
-            self.say(source, words.Rows(read.seq, self.machine.applied, nth + 1 == len(parts), part))
+            self.say(source, messages.Rows(read.seq, self.machine.applied, nth + 1 == len(parts), part))
 
     # --- what was applied ---
 
-    def applied(self, now: float, entry: words.Entry, done: Applied) -> None:
+    def applied(self, now: float, entry: messages.Entry, done: Applied) -> None:
         if not self.open and entry.term == self.term:
             self._open(now)
         if entry.index == self.passing:
@@ -223,8 +224,8 @@
             if waits and done.ok:
                 self._joined(now, one.source, done.session)
             elif waits:
-                self.say(one.source, words.Sorry(0, done.why or "refused", done.text, "", int(lease_ms)))
+                self.say(one.source, messages.Sorry(0, done.why or "refused", done.text, "", int(lease_ms)))
         elif done.why:
-            self.say(one.source, words.Sorry(one.seq, done.why, done.text, "", int(self.timing.beat_ms)))
+            self.say(one.source, messages.Sorry(one.seq, done.why, done.text, "", int(self.timing.beat_ms)))
         else:
-            self.say(one.source, words.Done(one.seq, done.index, done.ok, done.text))
+            self.say(one.source, messages.Done(one.seq, done.index, done.ok, done.text))
--- a/brookreach/fleet/term.py
+++ b/brookreach/coordination/server/leader_term.py
@@ -5,11 +5,11 @@
 
 from __future__ import annotations
 
-from brookreach.fleet import sessions
-from brookreach.fleet.agreed import AgreedTime
-from brookreach.fleet.machine import Machine
-from brookreach.fleet.raft import Raft
-from brookreach.fleet.seams import Timing
+from brookreach.coordination.ports import Timing
+from brookreach.coordination.raft.node import Raft
+from brookreach.coordination.server.agreed_clock import AgreedTime
+from brookreach.coordination.state_machine import sessions
+from brookreach.coordination.state_machine.machine import Machine
 
 
 class Term:
--- a/brookreach/fleet/serve.py
+++ b/brookreach/coordination/server/process.py
@@ -18,16 +18,16 @@
 import anyio
 import anyio.abc
 
+from brookreach.coordination import configuration
+from brookreach.coordination.client.connection import now_ms
+from brookreach.coordination.ports import DiskError, Ready
+from brookreach.coordination.protocol.stream import BOUNDS
+from brookreach.coordination.server.replica import Keeper
+from brookreach.coordination.server.transport import Link, Say, first
+from brookreach.coordination.state_machine.application import Piece
+from brookreach.coordination.state_machine.machine import Halted
+from brookreach.coordination.storage.store import Store
 from brookreach.files import BadFile
-from brookreach.fleet import config
-from brookreach.fleet.dial import now_ms
-from brookreach.fleet.keeper import Keeper
-from brookreach.fleet.link import Link, Say, first
-from brookreach.fleet.machine import Halted
-from brookreach.fleet.piece import Piece
-from brookreach.fleet.seams import DiskError, Ready
-from brookreach.fleet.store import Store
-from brookreach.fleet.stream import BOUNDS
 
 MOST_HEARD = 512  # messages of clients before what they bring is saved, as one
 MOST_ROUNDS = 64  # of ready and taken before the sockets have their turn
@@ -36,7 +36,7 @@
 BAD_FILE, ENDED_ITSELF = 2, 3  # exit codes
 
 
-def disk_of(path: Path, told: config.FleetFile, me: str) -> Store:
+def disk_of(path: Path, told: configuration.FleetFile, me: str) -> Store:
     """Raises BadFile for a keeper that the file does not name, DiskError for what can't be opened."""
     part = next((one for one in told.keeper if one.name == me), None)
     if part is None:
@@ -53,8 +53,8 @@
     """Raises BadFile and DiskError where it can't begin."""
 
     def __init__(self, path: Path, me: str, pieces: Sequence[Piece], say: Say):
-        told = config.read(path)
-        key = config.read_key(path, told)
+        told = configuration.read(path)
+        key = configuration.read_key(path, told)
         self.me, self.say = me, say
         self.disk = disk_of(path, told, me)
         kept = self.disk.load()
--- a/brookreach/fleet/flights.py
+++ b/brookreach/coordination/server/proposals.py
@@ -11,32 +11,38 @@
 
 import msgspec
 
-from brookreach.fleet import words
-from brookreach.fleet.piece import Order
-from brookreach.fleet.sessions import PRIVATE
-from brookreach.fleet.tables import Tables, weight
+from brookreach.coordination.protocol import messages
+from brookreach.coordination.state_machine.application import Order
+from brookreach.coordination.state_machine.sessions import PRIVATE
+from brookreach.coordination.state_machine.tables import Tables, weight
 
 MOST_PART = 256 << 10  # bytes of rows in one message
 MOST_TEXT = 400  # as words.Text
-Say = Callable[[str, words.Body], None]
+Say = Callable[[str, messages.Body], None]
 
 
 class MoveSeat(Order, frozen=True):
     """An operator's question of piece `seats`: what is so already is agreed, too."""
 
     way: Literal["add", "remove"]
-    name: words.Name
+    name: messages.Name
 
 
 _moves = msgspec.msgpack.Decoder(MoveSeat, strict=True)
 
 
 def sorry(
-    say: Say, source: str, body: words.Body, why: words.Why, text: str, leader: str = "", come_back_ms: float = 0.0
+    say: Say,
+    source: str,
+    body: messages.Body,
+    why: messages.Why,
+    text: str,
+    leader: str = "",
+    come_back_ms: float = 0.0,
 ) -> None:
     """To who asked that; a Leave has no answer."""
-    if not isinstance(body, words.Leave):
-        say(source, words.Sorry(getattr(body, "seq", 0), why, text[:MOST_TEXT], leader, int(come_back_ms)))
+    if not isinstance(body, messages.Leave):
+        say(source, messages.Sorry(getattr(body, "seq", 0), why, text[:MOST_TEXT], leader, int(come_back_ms)))
 
 
 class Wrong(Exception):
@@ -103,18 +109,18 @@
         return len(self._numbers.get(session, ()))
 
 
-def rows_of(view: Tables, read: words.Read) -> list[tuple[words.Change, ...]]:
+def rows_of(view: Tables, read: messages.Read) -> list[tuple[messages.Change, ...]]:
     """What is read, in parts that a message carries, one at least; raises Wrong."""
     known = [name for name in view.types if name not in PRIVATE]
     if read.table not in known:
         raise Wrong(f"no table {read.table!r}; there are {', '.join(known)}")
-    parts: list[list[words.Change]] = [[]]
+    parts: list[list[messages.Change]] = [[]]
     octets = 0
     for change in view.changes(read.table):
         if not change.key.startswith(read.prefix):
             continue
         size = weight(change)
-        if parts[-1] and (octets + size > MOST_PART or len(parts[-1]) == words.MOST_ROWS):
+        if parts[-1] and (octets + size > MOST_PART or len(parts[-1]) == messages.MOST_ROWS):
             parts.append([])
             octets = 0
         parts[-1].append(change)
@@ -136,6 +142,6 @@
         return left
     if name not in keepers:
         raise Wrong(f"{name} is no [[keeper]] in the leader's file; there are {', '.join(keepers)}")
-    if name not in seats and len(seats) == words.MOST_SEATS:
+    if name not in seats and len(seats) == messages.MOST_SEATS:
         raise Wrong(f"{len(seats)} seats; no more are allowed")
     return tuple(seats) if name in seats else (*seats, name)
--- a/brookreach/fleet/keeper.py
+++ b/brookreach/coordination/server/replica.py
@@ -12,13 +12,13 @@
 from collections import Counter
 from collections.abc import Collection, Sequence
 
-from brookreach.fleet import words
-from brookreach.fleet.lead import Lead, sorry
-from brookreach.fleet.machine import Machine
-from brookreach.fleet.piece import Piece
-from brookreach.fleet.raft import Raft
-from brookreach.fleet.seams import Kept, Ready, Timing
-from brookreach.fleet.watch import Watches
+from brookreach.coordination.ports import Kept, Ready, Timing
+from brookreach.coordination.protocol import messages
+from brookreach.coordination.raft.node import Raft
+from brookreach.coordination.server.leader import Lead, sorry
+from brookreach.coordination.server.watches import Watches
+from brookreach.coordination.state_machine.application import Piece
+from brookreach.coordination.state_machine.machine import Machine
 
 MOST_TOLD = 512 << 10  # bytes of changes handed out at a time, over all clients: they come by turns
 
@@ -45,7 +45,7 @@
         self.watches = Watches(self.machine)
         self.lead: Lead | None = None
         self.now = -math.inf
-        self.out: list[tuple[str, words.Body]] = []
+        self.out: list[tuple[str, messages.Body]] = []
         self.held: Collection[str] = ()
         self.refusals: Counter[str] = Counter()
         self.ending = False
@@ -53,13 +53,13 @@
 
     # --- what happens ---
 
-    def hear(self, now: float, wall_ms: int, source: str, body: words.Body) -> None:
+    def hear(self, now: float, wall_ms: int, source: str, body: messages.Body) -> None:
         """A frame that was opened: `source` is whose seal and connection it came with."""
         self._at(now, wall_ms)
-        if isinstance(body, words.KEEPERS):
+        if isinstance(body, messages.KEEPERS):
             self.raft.hear(now, source, body)
             self._led()
-        elif not isinstance(body, words.ASKED):
+        elif not isinstance(body, messages.ASKED):
             self.refusals["not its to say"] += 1
         elif self.ending:
             sorry(self._say, source, body, "ending", f"{self.me} ends", self._leader())
@@ -98,7 +98,7 @@
         self.now, self.ending = max(self.now, now), True
         if self.lead is not None:
             for source in self.lead.here:
-                self._say(source, words.Sorry(0, "ending", f"{self.me} ends", "", 0))
+                self._say(source, messages.Sorry(0, "ending", f"{self.me} ends", "", 0))
         return self.raft.hand_over(now)
 
     @property
@@ -148,7 +148,7 @@
     def _leader(self) -> str:
         return "" if self.raft.leader == self.me else self.raft.leader
 
-    def _say(self, target: str, body: words.Body) -> None:
+    def _say(self, target: str, body: messages.Body) -> None:
         self.out.append((target, body))
 
     def _led(self) -> None:
--- a/brookreach/fleet/link.py
+++ b/brookreach/coordination/server/transport.py
@@ -17,8 +17,9 @@
 import anyio.abc
 from anyio.abc import TaskStatus
 
-from brookreach.fleet import seal, words
-from brookreach.fleet.stream import BOUNDS, LOST, Bounds, Inbox, Line, TooLong, frames
+from brookreach.coordination.protocol import frames as seal
+from brookreach.coordination.protocol import messages
+from brookreach.coordination.protocol.stream import BOUNDS, LOST, Bounds, Inbox, Line, TooLong, frames
 from brookreach.net.backoff import Backoff
 
 Say = Callable[[str, str], object]  # a line's kind and its words
@@ -44,7 +45,7 @@
         self.refused: Counter[tuple[str, str]] = Counter()  # by who sent it, and the reason
         self.strangers = self.tries = 0  # connections that have said nothing yet; those dialled
 
-    def send(self, target: str, body: words.Body) -> None:
+    def send(self, target: str, body: messages.Body) -> None:
         """To whom no connection leads it is lost, as any message may be."""
         line = self.lines.get(target)
         if line is None or line.cut:
@@ -113,7 +114,7 @@
         finally:
             guest.ended()
 
-    def refuse(self, source: str, error: words.Refused) -> None:
+    def refuse(self, source: str, error: messages.Refused) -> None:
         self.refused[source, error.name] += 1
         if self.refused[source, error.name] == 1:  # from then on it is counted
             self.say("refused", f"from {source}: {error}")
@@ -132,11 +133,11 @@
         link = self.link
         with anyio.move_on_after(link.bounds.hello_s) as hello:
             try:
-                async for octets in frames(self.stream, words.MOST_FRAME):
+                async for octets in frames(self.stream, messages.MOST_FRAME):
                     try:
                         frame = seal.opened(link.key, link.group, link.me, octets)
                         self._may(frame, len(octets))
-                    except words.Refused as error:
+                    except messages.Refused as error:
                         link.refuse(self.name or "a stranger", error)
                         if error.name == "bad seal":
                             return
@@ -148,16 +149,16 @@
                     queue = link.inbox.keepers if self.name in link.keepers else link.inbox.clients
                     await link.inbox.put(queue, self.name, frame.body)
             except TooLong as error:
-                link.refuse(self.name or "a stranger", words.Refused("too long", str(error)))
+                link.refuse(self.name or "a stranger", messages.Refused("too long", str(error)))
 
     def _may(self, frame: seal.Frame, size: int) -> None:
         """One name a connection, and only what its kind may say; raises Refused."""
-        may = words.KEEPERS if frame.source in self.link.keepers else words.ASKED
+        may = messages.KEEPERS if frame.source in self.link.keepers else messages.ASKED
         other = frame.source == self.link.me or self.name not in ("", frame.source)
         if other or not isinstance(frame.body, may):
-            raise words.Refused("not its to say", f"{frame.source}: {type(frame.body).__name__}")
-        if may is words.ASKED and size > self.link.bounds.asked:
-            raise words.Refused("too long", f"{size} bytes; {self.link.bounds.asked} are allowed to a client")
+            raise messages.Refused("not its to say", f"{frame.source}: {type(frame.body).__name__}")
+        if may is messages.ASKED and size > self.link.bounds.asked:
+            raise messages.Refused("too long", f"{size} bytes; {self.link.bounds.asked} are allowed to a client")
 
     def _named(self, name: str, tasks: anyio.abc.TaskGroup) -> bool:
         """False: there is no more room for clients. Keepers always find some."""
--- a/brookreach/fleet/watch.py
+++ b/brookreach/coordination/server/watches.py
@@ -10,13 +10,14 @@
 from collections.abc import Collection
 from dataclasses import dataclass
 
-from brookreach.fleet import sessions, words
-from brookreach.fleet.machine import Machine
-from brookreach.fleet.ring import MARKS, Copy, Found, Names, Ring, marked
-from brookreach.fleet.seams import Applied
+from brookreach.coordination.ports import Applied
+from brookreach.coordination.protocol import messages
+from brookreach.coordination.server.change_feed import MARKS, Copy, Found, Names, Ring, marked
+from brookreach.coordination.state_machine import sessions
+from brookreach.coordination.state_machine.machine import Machine
 
 MOST_RING = 16 << 20  # bytes of changes held for all
-MOST_BYTES = words.MOST_FRAME // 2 - (16 << 10)  # of one message's rows
+MOST_BYTES = messages.MOST_FRAME // 2 - (16 << 10)  # of one message's rows
 MOST_BEHIND = 4096  # entries that change nothing for a client, before it's told how far the log is
 
 
@@ -114,12 +115,12 @@
 
     # --- what they are told ---
 
-    def out(self, octets: int, held: Collection[str] = ()) -> list[tuple[str, words.Body]]:
+    def out(self, octets: int, held: Collection[str] = ()) -> list[tuple[str, messages.Body]]:
         """One message each by turns, until they are about so many bytes. Those in `held` have not taken yet
         what they were told before, and wait."""
         if self._machine.applied != self._ring.index:
             raise ValueError(f"place {self._machine.applied} is applied, watches know {self._ring.index}")
-        said: list[tuple[str, words.Body]] = []
+        said: list[tuple[str, messages.Body]] = []
         spent = passed = 0
         while spent < octets and passed < len(self._pending):
             client = next(iter(self._pending))
@@ -138,7 +139,7 @@
                 self._pending[client] = None
         return said
 
-    def _next(self, watcher: Watcher) -> tuple[words.Body | None, int]:
+    def _next(self, watcher: Watcher) -> tuple[messages.Body | None, int]:
         if watcher.copy and watcher.copy.index < self._ring.floor:
             watcher.copy, watcher.whole = None, True  # the rest of it would lead nowhere
         if not watcher.copy and not watcher.whole:
@@ -155,13 +156,13 @@
             watcher.copy = None
             watcher.told = watcher.seen = watcher.least = copy.index
         rows, octets = copy.parts[nth]
-        return words.Whole(copy.index, nth, last, rows), 64 + octets
+        return messages.Whole(copy.index, nth, last, rows), 64 + octets
 
-    def _changes(self, watcher: Watcher, found: Found) -> tuple[words.Body | None, int]:
+    def _changes(self, watcher: Watcher, found: Found) -> tuple[messages.Body | None, int]:
         since, fresh = watcher.told, watcher.fresh
         watcher.told = watcher.seen = watcher.least = found.upto
         watcher.fresh = False
         if since == found.upto and not fresh:
             return None, 0
         marks = marked(watcher.names if fresh else watcher.names[:1], found.total)
-        return words.Changes(since, found.upto, marks + found.rows), 64 + found.octets
+        return messages.Changes(since, found.upto, marks + found.rows), 64 + found.octets
--- a/brookreach/fleet/machine.py
+++ b/brookreach/coordination/state_machine/machine.py
@@ -12,15 +12,25 @@
 
 import msgspec
 
-from brookreach.fleet import sessions, snapshots, words
-from brookreach.fleet.piece import Context, Draft, Piece, Put, Refusal, View
-from brookreach.fleet.seams import Applied, Stamped
-from brookreach.fleet.sessions import ANSWERS, PIECE, SEATS, SESSIONS, AnswerRow, Began, Passed, SessionRow
-from brookreach.fleet.snapshots import Halted
-from brookreach.fleet.tables import Misfit, Tables, TooLarge
+from brookreach.coordination.ports import Applied, Stamped
+from brookreach.coordination.protocol import messages
+from brookreach.coordination.state_machine import sessions, snapshots
+from brookreach.coordination.state_machine.application import Context, Draft, Piece, Put, Refusal, View
+from brookreach.coordination.state_machine.sessions import (
+    ANSWERS,
+    PIECE,
+    SEATS,
+    SESSIONS,
+    AnswerRow,
+    Began,
+    Passed,
+    SessionRow,
+)
+from brookreach.coordination.state_machine.snapshots import Halted
+from brookreach.coordination.state_machine.tables import Misfit, Tables, TooLarge
 
 MOST_TEXT = 400  # as words.Text
-Made = list[tuple[Any, words.Change]]
+Made = list[tuple[Any, messages.Change]]
 
 _stamped = msgspec.msgpack.Decoder(Stamped, strict=True)
 
@@ -51,7 +61,7 @@
 
     # --- what a keeper asks ---
 
-    def misfit(self, piece: str, version: int, body: bytes) -> tuple[words.Why, str] | None:
+    def misfit(self, piece: str, version: int, body: bytes) -> tuple[messages.Why, str] | None:
         """Why a client's record must not get into the log: there it would halt every keeper."""
         if piece in (PIECE, SEATS):
             return "refused", f"records of {piece} are the group's own"
@@ -61,8 +71,8 @@
             return "too new", f"version {version} of piece {piece}; up to {self._versions[piece]} is read"
         if version < 1:
             return "refused", f"version {version} of piece {piece}; versions begin at 1"
-        if len(body) > words.MOST_RECORD - sessions.SPARE:
-            return "refused", f"{len(body)} bytes; {words.MOST_RECORD - sessions.SPARE} are allowed"
+        if len(body) > messages.MOST_RECORD - sessions.SPARE:
+            return "refused", f"{len(body)} bytes; {messages.MOST_RECORD - sessions.SPARE} are allowed"
         try:
             self._readers[piece].decode(body)
         except (msgspec.DecodeError, RecursionError) as error:
@@ -108,7 +118,7 @@
 
     # --- the log ---
 
-    def apply(self, entry: words.Entry) -> Applied:
+    def apply(self, entry: messages.Entry) -> Applied:
         """`Applied.index`: where the question took effect; for one asked again, where its first copy did."""
         if entry.index != self.applied + 1:
             raise Halted(f"place {entry.index} of the log follows {self.applied}")
@@ -185,7 +195,7 @@
                 raise Misfit(f"piece {piece.name} may not write table {one.table!r}")
         return [self.view.made(one) for one in puts]
 
-    def _lay(self, made: Made) -> tuple[words.Change, ...]:
+    def _lay(self, made: Made) -> tuple[messages.Change, ...]:
         changes = self.view.lay(made)
         if changes:
             self._due = None
--- a/brookreach/fleet/sessions.py
+++ b/brookreach/coordination/state_machine/sessions.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
-from brookreach.fleet import words
-from brookreach.fleet.piece import Order, Row
-from brookreach.fleet.seams import Stamped, Timing
+from brookreach.coordination.ports import Stamped, Timing
+from brookreach.coordination.protocol import messages
+from brookreach.coordination.state_machine.application import Order, Row
 
 PIECE, VERSION = "fleet", 1
 SEATS = "seats"  # records of the group's members: raft's, and nothing to the tables
@@ -28,13 +28,13 @@
 class Began(Order, frozen=True):
     """A new session of a client; an older one of the same name ends with it."""
 
-    client: words.Name
-    kind: words.Kind
+    client: messages.Name
+    kind: messages.Kind
 
 
 class Ended(Order, frozen=True):
-    session: words.Count
-    why: words.Text
+    session: messages.Count
+    why: messages.Text
 
 
 class Passed(Order, frozen=True):
@@ -48,7 +48,7 @@
     """By the client's name."""
 
     session: int
-    kind: words.Kind
+    kind: messages.Kind
     began_ms: int
 
 
@@ -72,7 +72,7 @@
     return _out.encode(Stamped(PIECE, VERSION, at_ms, "", "", 0, 0, _out.encode(order)))
 
 
-def asked(ask: words.Ask, at_ms: int, client: str, kind: str) -> bytes:
+def asked(ask: messages.Ask, at_ms: int, client: str, kind: str) -> bytes:
     """An entry's octets, for a question that `Machine.misfit` has let through."""
     return _out.encode(Stamped(ask.piece, ask.version, at_ms, client, kind, ask.session, ask.seq, ask.body))
 
--- a/brookreach/fleet/snapshots.py
+++ b/brookreach/coordination/state_machine/snapshots.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from brookreach.fleet import words
-from brookreach.fleet.tables import Misfit, Tables, TooLarge
+from brookreach.coordination.protocol import messages
+from brookreach.coordination.state_machine.tables import Misfit, Tables, TooLarge
 
 FORM = 1
 MAGIC = b"brook\r\n\x01"
@@ -24,16 +24,16 @@
 
 
 class Packed(msgspec.Struct, frozen=True, forbid_unknown_fields=True, array_like=True):
-    applied: words.Count
-    at_ms: words.Count
-    pieces: tuple[tuple[str, words.Count], ...]  # and the versions of their records
+    applied: messages.Count
+    at_ms: messages.Count
+    pieces: tuple[tuple[str, messages.Count], ...]  # and the versions of their records
     tables: tuple[tuple[str, tuple[tuple[str, bytes], ...]], ...]
 
 
 class Form(msgspec.Struct, frozen=True, array_like=True):
     """Read first, so that a later form is named as such."""
 
-    form: words.Count
+    form: messages.Count
     body: msgspec.Raw
 
 
--- a/brookreach/fleet/tables.py
+++ b/brookreach/coordination/state_machine/tables.py
@@ -13,8 +13,8 @@
 import msgspec
 from sortedcontainers import SortedDict
 
-from brookreach.fleet import words
-from brookreach.fleet.piece import Put, Row
+from brookreach.coordination.protocol import messages
+from brookreach.coordination.state_machine.application import Put, Row
 
 MOST_KEY = 200  # as words.Key; "" is no row's key
 BESIDE = 16  # bytes of a change beside its names and octets, at most
@@ -31,13 +31,13 @@
     """A row that is none of its table: a defect in a piece, or of a later version."""
 
 
-def weight(change: words.Change) -> int:
+def weight(change: messages.Change) -> int:
     """Its bytes in a message, from above."""
     octets = len(change.octets) if change.octets is not None else 0
     return BESIDE + len(change.table) + len(change.key.encode()) + octets
 
 
-def trace(change: words.Change) -> int:
+def trace(change: messages.Change) -> int:
     """Stands for one row in a sum over rows, in which order is nothing."""
     return int.from_bytes(hashlib.blake2b(_out.encode(change), digest_size=SUM).digest(), "big")
 
@@ -80,15 +80,15 @@
         """Bytes of all its rows as changes, from above."""
         return self._weights[table]
 
-    def changes(self, table: str) -> list[words.Change]:
+    def changes(self, table: str) -> list[messages.Change]:
         """All its rows, as messages carry them."""
         return [change for _, change in self._held[table].values()]
 
-    def made(self, put: Put) -> tuple[Any, words.Change]:
+    def made(self, put: Put) -> tuple[Any, messages.Change]:
         """The row as it would stand, and its change; raises Misfit or TooLarge, and changes nothing."""
         self._known(put.table, put.key)
         if put.row is None:
-            return None, words.Change(put.table, put.key, None)
+            return None, messages.Change(put.table, put.key, None)
         if type(put.row) is not self.types[put.table]:
             raise Misfit(f"{put.table}: a {type(put.row).__name__}, no {self.types[put.table].__name__}")
         try:
@@ -99,18 +99,18 @@
             raise Misfit(f"{put.table} {put.key!r}: {error}") from None
         return self.read(put.table, put.key, octets)
 
-    def read(self, table: str, key: str, octets: bytes | None) -> tuple[Any, words.Change]:
+    def read(self, table: str, key: str, octets: bytes | None) -> tuple[Any, messages.Change]:
         """The same from a row's octets. What stands is what they say, so a copy of it can't differ."""
         self._known(table, key)
         if octets is None:
-            return None, words.Change(table, key, None)
-        if len(octets) > words.MOST_RECORD:
-            raise TooLarge(f"{table} {key!r}: {len(octets)} bytes; {words.MOST_RECORD} are allowed")
+            return None, messages.Change(table, key, None)
+        if len(octets) > messages.MOST_RECORD:
+            raise TooLarge(f"{table} {key!r}: {len(octets)} bytes; {messages.MOST_RECORD} are allowed")
         try:
             row = self._readers[table].decode(octets)
         except (msgspec.DecodeError, RecursionError) as error:
             raise Misfit(f"{table} {key!r} is no {self.types[table].__name__}: {error}") from None
-        return row, words.Change(table, key, octets)
+        return row, messages.Change(table, key, octets)
 
     def _known(self, table: str, key: str) -> None:
         if table not in self.types:
@@ -124,9 +124,9 @@
         except UnicodeEncodeError:
             raise Misfit(f"{table}: {key!r} can't be sent") from None
 
-    def lay(self, made: Iterable[tuple[Any, words.Change]]) -> tuple[words.Change, ...]:
+    def lay(self, made: Iterable[tuple[Any, messages.Change]]) -> tuple[messages.Change, ...]:
         """Puts in what `made` or `read` gave; hands back what is not as it was before, in that order."""
-        moved: dict[tuple[str, str], words.Change] = {}
+        moved: dict[tuple[str, str], messages.Change] = {}
         for row, change in made:
             held, place = self._held[change.table], (change.table, change.key)
             old = held.get(change.key)
@@ -145,13 +145,13 @@
             moved[place] = change
         return tuple(moved.values())
 
-    def take(self, puts: Iterable[Put]) -> tuple[words.Change, ...]:
+    def take(self, puts: Iterable[Put]) -> tuple[messages.Change, ...]:
         """All of them, or none and an error."""
         return self.lay([self.made(put) for put in puts])
 
-    def standing(self, table: str, key: str) -> tuple[Any, words.Change]:
+    def standing(self, table: str, key: str) -> tuple[Any, messages.Change]:
         """What `lay` needs to put it back as it is."""
-        return self._held[table].get(key) or (None, words.Change(table, key, None))
+        return self._held[table].get(key) or (None, messages.Change(table, key, None))
 
     def digest(self) -> str:
         """The same on every process whose rows are the same."""
--- a/brookreach/fleet/store.py
+++ b/brookreach/coordination/storage/store.py
@@ -19,9 +19,9 @@
 
 import msgspec
 
-from brookreach.fleet.members import proper
-from brookreach.fleet.seams import DiskError, Kept, Save
-from brookreach.fleet.words import Entry
+from brookreach.coordination.ports import DiskError, Kept, Save
+from brookreach.coordination.protocol.messages import Entry
+from brookreach.coordination.raft.membership import proper
 
 SCHEMA = 1
 TABLES = """
--- a/brookreach/outages/piece.py
+++ b/brookreach/disruption/application.py
@@ -8,9 +8,11 @@
 from collections.abc import Mapping
 from typing import Any
 
-from brookreach.fleet.piece import Context, Draft, Put, Refusal, Row, View
-from brookreach.outages import budgets, due, halt, inner, orders, permits, releases, rows, seen
-from brookreach.outages.targets import OVER
+from brookreach.coordination.state_machine.application import Context, Draft, Put, Refusal, Row, View
+from brookreach.disruption import budgets, deadlines, halt, internal_tables, liveness, permits, releases
+from brookreach.disruption import commands as orders
+from brookreach.disruption import tables as rows
+from brookreach.disruption.targets import OVER
 
 
 def changes(draft: Draft) -> list[Put]:
@@ -30,15 +32,15 @@
         rows.RELEASES: rows.ReleaseRow,
         rows.BUDGETS: rows.BudgetRow,
         rows.ASSIGNED: rows.AssignRow,
-        inner.COUNTS: inner.CountRow,
-        inner.OPEN: inner.OpenRow,
-        inner.WAITS: inner.WaitRow,
-        inner.LINES: inner.LineRow,
-        inner.HELD: inner.HeldRow,
-        inner.DRAWS: inner.DrawRow,
-        inner.DUE: inner.DueRow,
-        inner.PROGRESS: inner.ProgressRow,
-        inner.VOTES: inner.VoteRow,
+        internal_tables.COUNTS: internal_tables.CountRow,
+        internal_tables.OPEN: internal_tables.OpenRow,
+        internal_tables.WAITS: internal_tables.WaitRow,
+        internal_tables.LINES: internal_tables.LineRow,
+        internal_tables.HELD: internal_tables.HeldRow,
+        internal_tables.DRAWS: internal_tables.DrawRow,
+        internal_tables.DUE: internal_tables.DueRow,
+        internal_tables.PROGRESS: internal_tables.ProgressRow,
+        internal_tables.VOTES: internal_tables.VoteRow,
     }
 
     def apply(self, view: View, order: Any, context: Context) -> list[Put]:
@@ -46,9 +48,9 @@
         draft = Draft(view)
         match order:
             case orders.NodeSeen():
-                seen.node(draft, order, context)
+                liveness.node(draft, order, context)
             case orders.MarshalSeen():
-                seen.marshal(draft, order, context)
+                liveness.marshal(draft, order, context)
             case orders.AskDrain():
                 permits.ask(draft, context, order.name, "drain", order.node, order.urgency, order.reason)
             case orders.AskRestart():
@@ -72,9 +74,9 @@
                 budgets.set_budgets(draft, order, context)
                 permits.serve(draft, context)
             case orders.Gone():
-                seen.gone(draft, order, context)
+                liveness.gone(draft, order, context)
             case orders.RetirementNotice() | orders.RetirementWithdrawn():
-                seen.notice(draft, order, context)
+                liveness.notice(draft, order, context)
         return changes(draft)
 
     def _take_back(self, draft: Draft, order: orders.TakeBack, context: Context) -> None:
@@ -86,32 +88,32 @@
         permits.take_back(draft, context, order.name, order.reason)
 
     def due_ms(self, view: View) -> int | None:
-        return due.next_ms(view)
+        return deadlines.next_ms(view)
 
     def passed(self, view: View, context: Context) -> list[Put]:
         draft = Draft(view)
-        for one in due.taken(draft, context.at_ms):
+        for one in deadlines.taken(draft, context.at_ms):
             match one.what:
-                case due.LATE:
+                case deadlines.LATE:
                     permits.late(draft, context, one.name)
-                case due.FORGET:
+                case deadlines.FORGET:
                     permit = draft.get(rows.PERMITS, one.name)
                     if permit is not None and permit.state in OVER:
                         draft.put(rows.PERMITS, one.name, None)
-                case due.NODE:
-                    seen.forget(draft, context, one.name)
-                case due.VOTES:
+                case deadlines.NODE:
+                    liveness.forget(draft, context, one.name)
+                case deadlines.VOTES:
                     releases.forget(draft, context, int(one.name))
-                case due.STAGE:
+                case deadlines.STAGE:
                     releases.check(draft, context, int(one.name))
-                case due.DRAW:
+                case deadlines.DRAW:
                     releases.more(draft, context, int(one.name))
         permits.serve(draft, context)
         return changes(draft)
 
     def ended(self, view: View, context: Context) -> list[Put]:
         draft = Draft(view)
-        seen.session_ended(draft, context)
+        liveness.session_ended(draft, context)
         return changes(draft)
 
 
--- a/brookreach/outages/attend.py
+++ b/brookreach/disruption/balancer_client.py
@@ -17,17 +17,17 @@
 
 import anyio
 
+from brookreach.coordination import configuration
+from brookreach.coordination.client.client import Client, NotHeld
+from brookreach.coordination.client.connection import Dial, now_ms
+from brookreach.coordination.client.events import Answered, Changed, Event, Joined, SessionLost, TurnedAway
+from brookreach.coordination.client.requests import TooMany
+from brookreach.coordination.state_machine.application import Order
+from brookreach.disruption.application import PIECE
+from brookreach.disruption.commands import AskRestart, MarshalSeen
+from brookreach.disruption.endpoint_overlay import Agreed, Overlay
+from brookreach.disruption.tables import HALT, MARSHALS, NODES, PERMITS
 from brookreach.files import BadFile
-from brookreach.fleet import config
-from brookreach.fleet.asks import TooMany
-from brookreach.fleet.client import Client, NotHeld
-from brookreach.fleet.dial import Dial, now_ms
-from brookreach.fleet.events import Answered, Changed, Event, Joined, SessionLost, TurnedAway
-from brookreach.fleet.piece import Order
-from brookreach.outages.orders import AskRestart, MarshalSeen
-from brookreach.outages.overlay import Agreed, Overlay
-from brookreach.outages.piece import PIECE
-from brookreach.outages.rows import HALT, MARSHALS, NODES, PERMITS
 
 WATCHED = (HALT, MARSHALS, NODES, PERMITS)
 SERVICE = "marshals"
@@ -39,9 +39,9 @@
     does not wait for it."""
 
     def __init__(self, parts: Any, path: Path, restarts: bool):
-        told = config.read(path)
+        told = configuration.read(path)
         self.key, self.group, self.addresses, self.timing = (
-            config.read_key(path, told),
+            configuration.read_key(path, told),
             told.group.name,
             told.addresses(),
             told.times(),
--- a/brookreach/outages/budgets.py
+++ b/brookreach/disruption/budgets.py
@@ -9,10 +9,10 @@
 
 from typing import Any, Literal
 
-from brookreach.fleet.piece import Context, Draft, Refusal, View
-from brookreach.outages.inner import COUNTS, CountRow, ordered
-from brookreach.outages.orders import SetBudgets
-from brookreach.outages.rows import BUDGETS, MARSHALS, NODES, BudgetRow, MarshalRow, NodeRow
+from brookreach.coordination.state_machine.application import Context, Draft, Refusal, View
+from brookreach.disruption.commands import SetBudgets
+from brookreach.disruption.internal_tables import COUNTS, CountRow, ordered
+from brookreach.disruption.tables import BUDGETS, MARSHALS, NODES, BudgetRow, MarshalRow, NodeRow
 
 Kind = Literal["node", "marshal"]
 KINDS: tuple[Kind, ...] = ("node", "marshal")
--- a/brookreach/outages/draws.py
+++ b/brookreach/disruption/build_assignments.py
@@ -9,10 +9,10 @@
 
 from msgspec import structs
 
-from brookreach.fleet.piece import Context, Draft, View
-from brookreach.outages import due, targets
-from brookreach.outages.inner import DRAWS, PROGRESS, ProgressRow, ordered
-from brookreach.outages.rows import ASSIGNED, NODES, RELEASES, AssignRow, NodeRow, ReleaseRow
+from brookreach.coordination.state_machine.application import Context, Draft, View
+from brookreach.disruption import deadlines, targets
+from brookreach.disruption.internal_tables import DRAWS, PROGRESS, ProgressRow, ordered
+from brookreach.disruption.tables import ASSIGNED, NODES, RELEASES, AssignRow, NodeRow, ReleaseRow
 
 BUCKETS, SPREAD = 256, 101  # of names; by how many buckets the next build begins elsewhere
 BATCH = 96  # nodes drawn or given back in one record; the rest at once in the next
@@ -67,7 +67,7 @@
             progress = structs.replace(progress, cursor=progress.cursor + 1)
             draft.put(PROGRESS, str(build), progress)
     if progress.drawing:
-        due.at(draft, context.at_ms, due.DRAW, str(build))
+        deadlines.at(draft, context.at_ms, deadlines.DRAW, str(build))
 
 
 def undraw(draft: Draft, context: Context, build: int) -> None:
@@ -91,7 +91,7 @@
             draft.put(PROGRESS, str(build), progress)
         left -= min(left, len(names))
     if progress.drawing:
-        due.at(draft, context.at_ms, due.DRAW, str(build))
+        deadlines.at(draft, context.at_ms, deadlines.DRAW, str(build))
 
 
 def _rank(view: View, context: Context, name: str, build: int, back: bool) -> int:
--- a/brookreach/outages/orders.py
+++ b/brookreach/disruption/commands.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from brookreach.fleet.piece import Context, Order, Refusal
-from brookreach.fleet.words import Count, Name, Text
+from brookreach.coordination.protocol.messages import Count, Name, Text
+from brookreach.coordination.state_machine.application import Context, Order, Refusal
 
 Scope = Annotated[str, msgspec.Meta(max_length=80, pattern=r"^(all|build:[0-9]+|(zone|service):[A-Za-z0-9._-]+)\Z")]
 # Lengths are such that the longest key of all tables stays under the 200 characters that the ground takes.
--- a/brookreach/outages/due.py
+++ b/brookreach/disruption/deadlines.py
@@ -6,8 +6,8 @@
 
 from __future__ import annotations
 
-from brookreach.fleet.piece import Draft, View
-from brookreach.outages.inner import DUE, DueRow, first, ordered
+from brookreach.coordination.state_machine.application import Draft, View
+from brookreach.disruption.internal_tables import DUE, DueRow, first, ordered
 
 LATE, FORGET, NODE, VOTES, STAGE, DRAW, SERVE = "late", "forget", "node", "votes", "stage", "draw", "serve"
 MOST_AT_ONCE = 32  # of them in one record; the rest is due at once
--- a/brookreach/outages/overlay.py
+++ b/brookreach/disruption/endpoint_overlay.py
@@ -10,11 +10,11 @@
 from dataclasses import replace
 
 from brookreach import interface as ifc
-from brookreach.fleet.events import Changed
-from brookreach.fleet.piece import View
+from brookreach.coordination.client.events import Changed
+from brookreach.coordination.state_machine.application import View
+from brookreach.disruption.tables import NODES, PERMITS, NodeRow, PermitRow
+from brookreach.disruption.targets import OUT
 from brookreach.net.link import Listed
-from brookreach.outages.rows import NODES, PERMITS, NodeRow, PermitRow
-from brookreach.outages.targets import OUT
 
 DRAINING, GONE, READY = ifc.NodeState.DRAINING, ifc.NodeState.GONE, ifc.NodeState.READY
 Told = Callable[[ifc.NodeList, list[Listed]], None]
--- a/brookreach/outages/halt.py
+++ b/brookreach/disruption/halt.py
@@ -6,8 +6,8 @@
 
 from __future__ import annotations
 
-from brookreach.fleet.piece import Context, Draft, Refusal, View
-from brookreach.outages.rows import HALT, HaltRow
+from brookreach.coordination.state_machine.application import Context, Draft, Refusal, View
+from brookreach.disruption.tables import HALT, HaltRow
 
 ALL = "all"
 
--- a/brookreach/outages/inner.py
+++ b/brookreach/disruption/internal_tables.py
@@ -11,7 +11,7 @@
 from itertools import groupby
 from typing import Any
 
-from brookreach.fleet.piece import Draft, Row, View
+from brookreach.coordination.state_machine.application import Draft, Row, View
 
 COUNTS, OPEN, WAITS, LINES, HELD, DRAWS, DUE, PROGRESS, VOTES = (
     "outages.counts",
--- a/brookreach/outages/seen.py
+++ b/brookreach/disruption/liveness.py
@@ -8,10 +8,10 @@
 
 from msgspec import structs
 
-from brookreach.fleet.piece import Context, Draft, Refusal
-from brookreach.outages import budgets, draws, due, permits, releases, targets
-from brookreach.outages.orders import Gone, MarshalSeen, NodeSeen, RetirementNotice, RetirementWithdrawn
-from brookreach.outages.rows import ASSIGNED, MARSHALS, NODES, MarshalRow, NodeRow, Standing
+from brookreach.coordination.state_machine.application import Context, Draft, Refusal
+from brookreach.disruption import budgets, build_assignments, deadlines, permits, releases, targets
+from brookreach.disruption.commands import Gone, MarshalSeen, NodeSeen, RetirementNotice, RetirementWithdrawn
+from brookreach.disruption.tables import ASSIGNED, MARSHALS, NODES, MarshalRow, NodeRow, Standing
 
 KEEP_GONE_MS = permits.KEEP_MS
 
@@ -55,7 +55,7 @@
         _is_gone(draft, context, "node", name, "gone, as it said")
     else:
         permits.seen(draft, context, "node", name, order.heard)
-        draws.follow(draft, context, name)
+        build_assignments.follow(draft, context, name)
     releases.touched(draft, context, {new.build, old.build if old else new.build}, name)
     permits.serve(draft, context)
 
@@ -115,7 +115,7 @@
     permits.gone(draft, context, kind, name, reason)
     standing = targets.opened(draft, kind, name)
     targets.put_opened(draft, kind, name, structs.replace(standing, move=0, back=False))
-    due.at(draft, context.at_ms + KEEP_GONE_MS, due.NODE, f"{kind}/{name}")
+    deadlines.at(draft, context.at_ms + KEEP_GONE_MS, deadlines.NODE, f"{kind}/{name}")
 
 
 def forget(draft: Draft, context: Context, kind_name: str) -> None:
--- a/brookreach/outages/agent.py
+++ b/brookreach/disruption/node_agent.py
@@ -16,15 +16,15 @@
 
 import anyio
 
-from brookreach.fleet import config
-from brookreach.fleet.client import Client
-from brookreach.fleet.dial import Dial, now_ms
-from brookreach.fleet.events import Answered, Changed, Event, Joined
-from brookreach.fleet.piece import Row
-from brookreach.outages.orders import NodeSeen
-from brookreach.outages.piece import PIECE
-from brookreach.outages.rows import HALT, PERMITS, HaltRow, PermitRow, Standing
-from brookreach.outages.targets import OUT
+from brookreach.coordination import configuration
+from brookreach.coordination.client.client import Client
+from brookreach.coordination.client.connection import Dial, now_ms
+from brookreach.coordination.client.events import Answered, Changed, Event, Joined
+from brookreach.coordination.state_machine.application import Row
+from brookreach.disruption.application import PIECE
+from brookreach.disruption.commands import NodeSeen
+from brookreach.disruption.tables import HALT, PERMITS, HaltRow, PermitRow, Standing
+from brookreach.disruption.targets import OUT
 
 Say = Callable[[str], object]
 LOOK_S = 0.1  # between looks at whether a halt still stands
@@ -54,7 +54,7 @@
     def __init__(
         self,
         facts: Facts,
-        told: config.FleetFile,
+        told: configuration.FleetFile,
         key: bytes,
         away_s: float | None,
         say: Say,
@@ -147,8 +147,8 @@
 
 async def play(path: Path, nodes: list[Facts], away_s: float | None, say: Say) -> None:
     """Agents of these nodes until cancelled; raises BadFile."""
-    told = config.read(path)
-    key = config.read_key(path, told)
+    told = configuration.read(path)
+    key = configuration.read_key(path, told)
     async with anyio.create_task_group() as tasks:
         for facts in nodes:
             tasks.start_soon(Agent(facts, told, key, away_s, say).run)
--- a/brookreach/outages/permits.py
+++ b/brookreach/disruption/permits.py
@@ -12,13 +12,13 @@
 
 from msgspec import structs
 
-from brookreach.fleet.piece import Context, Draft, Refusal, View
-from brookreach.outages import budgets, due, halt, queue, targets
-from brookreach.outages.budgets import KINDS, Kind
-from brookreach.outages.inner import WaitRow
-from brookreach.outages.orders import MOST_NAME
-from brookreach.outages.rows import ASSIGNED, PERMITS, MarshalRow, NodeRow, PermitRow
-from brookreach.outages.targets import OUT, OVER
+from brookreach.coordination.state_machine.application import Context, Draft, Refusal, View
+from brookreach.disruption import budgets, deadlines, halt, queue, targets
+from brookreach.disruption.budgets import KINDS, Kind
+from brookreach.disruption.commands import MOST_NAME
+from brookreach.disruption.internal_tables import WaitRow
+from brookreach.disruption.tables import ASSIGNED, PERMITS, MarshalRow, NodeRow, PermitRow
+from brookreach.disruption.targets import OUT, OVER
 
 What = Literal["drain", "restart", "move"]
 
@@ -171,7 +171,7 @@
     for kind in KINDS:
         for wait in queue.turns(draft, kind, stands is not None):
             if not left:
-                due.at(draft, context.at_ms, due.SERVE, "all")
+                deadlines.at(draft, context.at_ms, deadlines.SERVE, "all")
                 return
             _give(draft, context, kind, wait)
             left -= 1
@@ -186,7 +186,7 @@
     changed = structs.replace(permit, state="given", fence=context.index, given_ms=context.at_ms, life=life(row))
     draft.put(PERMITS, name, changed)
     targets.lay(draft, kind, wait.target)
-    due.at(draft, context.at_ms + LATE_MS, due.LATE, name)
+    deadlines.at(draft, context.at_ms + LATE_MS, deadlines.LATE, name)
 
 
 def _restart(draft: Draft, context: Context, node: str) -> str:
@@ -214,5 +214,5 @@
     targets.put_opened(draft, kind, permit.target, structs.replace(standing, names=names))
     targets.lay(draft, kind, permit.target)
     if permit.state in OUT:
-        due.off(draft, permit.given_ms + LATE_MS, due.LATE, name)
-    due.at(draft, context.at_ms + KEEP_MS, due.FORGET, name)
+        deadlines.off(draft, permit.given_ms + LATE_MS, deadlines.LATE, name)
+    deadlines.at(draft, context.at_ms + KEEP_MS, deadlines.FORGET, name)
--- a/brookreach/outages/queue.py
+++ b/brookreach/disruption/queue.py
@@ -16,11 +16,11 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from brookreach.fleet.piece import View
-from brookreach.outages import budgets
-from brookreach.outages.budgets import Kind
-from brookreach.outages.inner import HELD, LINES, WAITS, LineRow, WaitRow, first, ordered
-from brookreach.outages.targets import FAR, STEP_MS
+from brookreach.coordination.state_machine.application import View
+from brookreach.disruption import budgets
+from brookreach.disruption.budgets import Kind
+from brookreach.disruption.internal_tables import HELD, LINES, WAITS, LineRow, WaitRow, first, ordered
+from brookreach.disruption.targets import FAR, STEP_MS
 
 GRACE_MS = STEP_MS // 2
 
--- a/brookreach/outages/releases.py
+++ b/brookreach/disruption/releases.py
@@ -9,12 +9,12 @@
 
 from msgspec import structs
 
-from brookreach.fleet.piece import Context, Draft, Refusal, View
-from brookreach.outages import budgets, draws, due, halt, permits
-from brookreach.outages.draws import WAY_BACK, progress_of, release_of
-from brookreach.outages.inner import PROGRESS, VOTES, ProgressRow, VoteRow, ordered
-from brookreach.outages.orders import BeginRelease, SendBack, Voted
-from brookreach.outages.rows import ASSIGNED, RELEASES, AssignRow, ReleaseRow
+from brookreach.coordination.state_machine.application import Context, Draft, Refusal, View
+from brookreach.disruption import budgets, build_assignments, deadlines, halt, permits
+from brookreach.disruption.build_assignments import WAY_BACK, progress_of, release_of
+from brookreach.disruption.commands import BeginRelease, SendBack, Voted
+from brookreach.disruption.internal_tables import PROGRESS, VOTES, ProgressRow, VoteRow, ordered
+from brookreach.disruption.tables import ASSIGNED, RELEASES, AssignRow, ReleaseRow
 
 MOST_FORGOTTEN = 256  # voices in one record
 
@@ -79,10 +79,10 @@
     release = structs.replace(release, stage=release.stage + 1, since_ms=context.at_ms)
     _put(draft, release)
     progress = progress_of(draft, release.build)
-    nodes = draws.share(release.shares[release.stage - 1], budgets.count(draft, "node", "all").total)
+    nodes = build_assignments.share(release.shares[release.stage - 1], budgets.count(draft, "node", "all").total)
     progress = structs.replace(progress, target=max(nodes, progress.drawn), cursor=0, drawing=True, there_ms=0, on=0)
     draft.put(PROGRESS, str(release.build), progress)
-    draws.draw(draft, context, release.build)
+    build_assignments.draw(draft, context, release.build)
     check(draft, context, release.build)
 
 
@@ -102,7 +102,7 @@
     if release.state == "going back":
         if not progress.drawing and not budgets.count(draft, "node", f"build:{build}").total:
             _put(draft, structs.replace(release, state="sent back", since_ms=context.at_ms))
-            due.at(draft, context.at_ms + permits.KEEP_MS, due.VOTES, str(build))
+            deadlines.at(draft, context.at_ms + permits.KEEP_MS, deadlines.VOTES, str(build))
         return
     if release.state != "on" or halt.halted(draft) is not None:
         return
@@ -112,14 +112,14 @@
     if not progress.there_ms:
         progress = structs.replace(progress, there_ms=context.at_ms)
         draft.put(PROGRESS, str(build), progress)
-        due.at(draft, context.at_ms + release.wait_ms, due.STAGE, str(build))
+        deadlines.at(draft, context.at_ms + release.wait_ms, deadlines.STAGE, str(build))
     if context.at_ms < progress.there_ms + release.wait_ms or progress.on < release.on_votes:
         return
     if release.stage < len(release.shares):
         _open(draft, context, release)
         return
     _put(draft, structs.replace(release, state="released", since_ms=context.at_ms))
-    due.at(draft, context.at_ms + permits.KEEP_MS, due.VOTES, str(build))
+    deadlines.at(draft, context.at_ms + permits.KEEP_MS, deadlines.VOTES, str(build))
 
 
 def voted(draft: Draft, order: Voted, context: Context) -> None:
@@ -167,9 +167,11 @@
 
 def _back(draft: Draft, context: Context, release: ReleaseRow, reason: str) -> None:
     _put(draft, structs.replace(release, state="going back", since_ms=context.at_ms, reason=reason))
-    progress = structs.replace(progress_of(draft, release.build), cursor=draws.BUCKETS, drawing=True, there_ms=0)
+    progress = structs.replace(
+        progress_of(draft, release.build), cursor=build_assignments.BUCKETS, drawing=True, there_ms=0
+    )
     draft.put(PROGRESS, str(release.build), progress)
-    draws.undraw(draft, context, release.build)
+    build_assignments.undraw(draft, context, release.build)
     check(draft, context, release.build)
 
 
@@ -194,9 +196,9 @@
     """The next batch of a stage, or of the way back."""
     release = release_of(draft, build)
     if release is not None and release.state == "on":
-        draws.draw(draft, context, build)
+        build_assignments.draw(draft, context, build)
     elif release is not None and release.state == "going back":
-        draws.undraw(draft, context, build)
+        build_assignments.undraw(draft, context, build)
     check(draft, context, build)
 
 
@@ -204,6 +206,6 @@
     """Voices of a release that has been over for long; its row stays."""
     for nth, (key, _) in enumerate(list(ordered(draft, VOTES, f"{build}/"))):
         if nth == MOST_FORGOTTEN:
-            due.at(draft, context.at_ms, due.VOTES, str(build))
+            deadlines.at(draft, context.at_ms, deadlines.VOTES, str(build))
             return
         draft.put(VOTES, key, None)
--- a/brookreach/outages/rows.py
+++ b/brookreach/disruption/tables.py
@@ -4,7 +4,7 @@
 
 from typing import Literal
 
-from brookreach.fleet.piece import Row
+from brookreach.coordination.state_machine.application import Row
 
 NODES, MARSHALS, PERMITS, HALT, RELEASES, BUDGETS, ASSIGNED = (
     "nodes",
--- a/brookreach/outages/targets.py
+++ b/brookreach/disruption/targets.py
@@ -11,10 +11,10 @@
 
 from msgspec import structs
 
-from brookreach.fleet.piece import Draft, View
-from brookreach.outages import budgets
-from brookreach.outages.budgets import Kind
-from brookreach.outages.inner import (
+from brookreach.coordination.state_machine.application import Draft, View
+from brookreach.disruption import budgets
+from brookreach.disruption.budgets import Kind
+from brookreach.disruption.internal_tables import (
     DRAWS,
     HELD,
     LINES,
@@ -28,7 +28,7 @@
     ProgressRow,
     WaitRow,
 )
-from brookreach.outages.rows import ASSIGNED, PERMITS, AssignRow, MarshalRow, NodeRow, PermitRow
+from brookreach.disruption.tables import ASSIGNED, PERMITS, AssignRow, MarshalRow, NodeRow, PermitRow
 
 STEP_MS = 600_000  # an urgency is worth as much as having waited for that long
 FAR = 10**16 - 1  # over any rank
--- /dev/null
+++ b/brookreach/gang_scheduling/agent/__init__.py
@@ -0,0 +1,4 @@
+"""A node's agent: commands and the node's own events in; actions on the node, answers and reports out.
+
+It owns the fence at the node. It must never read the replicated tables, nor decide where a member runs.
+"""
--- a/brookreach/gangs/agent.py
+++ b/brookreach/gang_scheduling/agent/agent.py
@@ -11,9 +11,9 @@
 
 from collections import OrderedDict
 
-from brookreach.gangs.acts import Act, Answer, Live, Slot
-from brookreach.gangs.errands import Errand
-from brookreach.gangs.orders import Confirmed, Failed, Here, Orders, Started, Stopped
+from brookreach.gang_scheduling.agent.actions import Act, Answer, Live, Slot
+from brookreach.gang_scheduling.agent_tasks import Errand
+from brookreach.gang_scheduling.commands import Confirmed, Failed, Here, Orders, Started, Stopped
 
 MOST_TOKENS, MOST_SLOTS = 4096, 4096
 
--- a/brookreach/gangs/worker.py
+++ b/brookreach/gang_scheduling/agent/process.py
@@ -19,19 +19,19 @@
 
 import anyio
 
-from brookreach.fleet import config
-from brookreach.fleet.asks import TooMany
-from brookreach.fleet.client import NotHeld
-from brookreach.fleet.dial import now_ms
-from brookreach.fleet.events import Answered, Changed, Event, Renewed, SessionLost, Unknown
-from brookreach.fleet.piece import Order
-from brookreach.gangs import agent as hands
-from brookreach.gangs.acts import Act, Slot
-from brookreach.gangs.errands import errands
-from brookreach.gangs.orders import Here
-from brookreach.gangs.piece import PIECE
-from brookreach.gangs.rows import GANGS, HANDS, MEMBERS, PLACES, GangRow
-from brookreach.outages.agent import Agent, Facts, Say
+from brookreach.coordination import configuration
+from brookreach.coordination.client.client import NotHeld
+from brookreach.coordination.client.connection import now_ms
+from brookreach.coordination.client.events import Answered, Changed, Event, Renewed, SessionLost, Unknown
+from brookreach.coordination.client.requests import TooMany
+from brookreach.coordination.state_machine.application import Order
+from brookreach.disruption.node_agent import Agent, Facts, Say
+from brookreach.gang_scheduling.agent import agent as hands
+from brookreach.gang_scheduling.agent.actions import Act, Slot
+from brookreach.gang_scheduling.agent_tasks import errands
+from brookreach.gang_scheduling.application import PIECE
+from brookreach.gang_scheduling.commands import Here
+from brookreach.gang_scheduling.tables import GANGS, HANDS, MEMBERS, PLACES, GangRow
 
 WATCHED = (GANGS, HANDS, MEMBERS, PLACES)
 TICK_MS, AGAIN_MS, QUIET = 10.0, 500.0, 1.25  # between looks; between orders that still stand; of a lease
@@ -53,7 +53,7 @@
 
 
 class Worker(Agent):
-    def __init__(self, facts: Facts, told: config.FleetFile, key: bytes, say: Say, path: Path):
+    def __init__(self, facts: Facts, told: configuration.FleetFile, key: bytes, say: Say, path: Path):
         super().__init__(facts, told, key, None, say, {name: PIECE.tables[name] for name in WATCHED})
         now = now_ms()
         self.hands = hands.Agent(facts.name, self.life, now, told.timing.lease_ms * QUIET)
@@ -209,8 +209,8 @@
 
 async def play(path: Path, nodes: list[Facts], room: int, folder: Path, say: Say) -> None:
     """Agents of these nodes, each with `room` and its file NODE.jsonl in `folder`, until cancelled."""
-    told = config.read(path)
-    key = config.read_key(path, told)
+    told = configuration.read(path)
+    key = configuration.read_key(path, told)
     folder.mkdir(parents=True, exist_ok=True)
     async with anyio.create_task_group() as tasks:
         for facts in nodes:
--- a/brookreach/gangs/errands.py
+++ b/brookreach/gang_scheduling/agent_tasks.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
-from brookreach.fleet.piece import View
-from brookreach.gangs import seats
-from brookreach.gangs.rows import GANGS, HANDS, MEMBERS, PLACES, GangRow, MemberRow
+from brookreach.coordination.state_machine.application import View
+from brookreach.gang_scheduling import members
+from brookreach.gang_scheduling.tables import GANGS, HANDS, MEMBERS, PLACES, GangRow, MemberRow
 
 Kind = Literal["start", "go", "save", "stop"]
 
@@ -57,7 +57,7 @@
 
 
 def _of(row: GangRow, member: MemberRow, node: str) -> tuple[Kind, int, int] | None:
-    spot = seats.live(member)
+    spot = members.live(member)
     if spot is None or spot.node != node:
         return None
     if member.state == "fencing":
--- a/brookreach/gangs/piece.py
+++ b/brookreach/gang_scheduling/application.py
@@ -11,15 +11,17 @@
 
 from msgspec.structs import replace
 
-from brookreach.fleet.piece import Context, Put, Refusal, Row, View
-from brookreach.gangs import clean, epochs, interval, orders, rows, seats, steps
-from brookreach.gangs.book import ROUND, Desk, due_key
-from brookreach.gangs.look import look
-from brookreach.gangs.move import leaves_ms
-from brookreach.gangs.permits import Agreed, Permits
-from brookreach.gangs.place import ever
-from brookreach.gangs.queue import Prefer, place_waiting
-from brookreach.outages.inner import first, ordered
+from brookreach.coordination.state_machine.application import Context, Put, Refusal, Row, View
+from brookreach.disruption.internal_tables import first, ordered
+from brookreach.gang_scheduling import carbon_placement, checkpoint_interval, checkpoints, members, transitions
+from brookreach.gang_scheduling import commands as orders
+from brookreach.gang_scheduling import tables as rows
+from brookreach.gang_scheduling.disruption_permits import Agreed, Permits
+from brookreach.gang_scheduling.migration import leaves_ms
+from brookreach.gang_scheduling.placement import ever
+from brookreach.gang_scheduling.queue import Prefer, place_waiting
+from brookreach.gang_scheduling.reconcile import look
+from brookreach.gang_scheduling.transaction import ROUND, Desk, due_key
 
 NEAR_MS = 60_000
 
@@ -58,7 +60,7 @@
             case orders.Here():
                 touched = _here(desk, order)
             case orders.Confirmed():
-                touched = [order.gang] if epochs.confirm(desk, order) else []
+                touched = [order.gang] if checkpoints.confirm(desk, order) else []
             case orders.Started() | orders.Stopped() | orders.Failed():
                 touched = [order.gang] if _member(desk, order) else []
             case orders.Measured():
@@ -99,18 +101,18 @@
             return []
         desk = Desk(view, context, self.permits)
         desk.draft.put(rows.HANDS, context.by, rows.HandRow(0, hand.life, context.at_ms))
-        until = due_key(context.at_ms + seats.LET_GO_MS, ROUND + context.by)
+        until = due_key(context.at_ms + members.LET_GO_MS, ROUND + context.by)
         desk.draft.put(rows.DUES, until, rows.DueRow(ROUND + context.by))
         fallen: dict[str, list[int]] = {}
         for gang, number in desk.on_node(context.by):
             member = desk.member(gang, number)
-            spot = seats.live(member)
+            spot = members.live(member)
             if member.node == context.by or (spot and spot.node == context.by and member.state != "fencing"):
                 fallen.setdefault(gang, []).append(number)
             elif member.next_node == context.by:
                 desk.put_member(gang, number, replace(member, next_node="", next_life=0))
         for gang, numbers in fallen.items():
-            steps.lost(desk, gang, numbers, f"the agent of {context.by} is gone", gone=False)
+            transitions.lost(desk, gang, numbers, f"the agent of {context.by} is gone", gone=False)
             _look(desk, gang)
         return _changes(desk)
 
@@ -128,7 +130,7 @@
     look(desk, gang)
     row = desk.draft.get(rows.GANGS, gang)
     if row is not None and row.state in ("done", "failed"):
-        clean.let_go(desk, gang, row)
+        carbon_placement.let_go(desk, gang, row)
     if row is not None and 0 < desk.waking(gang) <= desk.now:
         desk.wake(gang, desk.next_look())
 
@@ -174,15 +176,15 @@
             f" nodes of zones {list(row.zones) or 'all'} and builds {list(row.builds) or 'all'} hold {places}"
             " of them empty"
         )
-    desk.put_gang(order.gang, replace(row, latest_ms=steps.latest_ms(row, desk.now)))
+    desk.put_gang(order.gang, replace(row, latest_ms=transitions.latest_ms(row, desk.now)))
 
 
 def _cancel(desk: Desk, order: orders.Cancel) -> None:
     row = desk.gang(order.gang)
     if row.state not in ("done", "failed"):
-        steps.over(desk, order.gang, "failed", f"cancelled by {desk.context.by}: {order.reason}")
+        transitions.over(desk, order.gang, "failed", f"cancelled by {desk.context.by}: {order.reason}")
         return
-    living = sorted({spot.node for _, one in desk.members(order.gang) if (spot := seats.live(one))})
+    living = sorted({spot.node for _, one in desk.members(order.gang) if (spot := members.live(one))})
     if living:
         raise Refusal(f"{order.gang}: {row.state}, and still being stopped on {', '.join(living)}")
     desk.remove(order.gang)
@@ -213,12 +215,12 @@
     hand = desk.draft.get(rows.HANDS, node)
     if hand is None or hand.session:
         return []
-    desk.draft.put(rows.DUES, due_key(hand.ended_ms + seats.LET_GO_MS, ROUND + node), None)
+    desk.draft.put(rows.DUES, due_key(hand.ended_ms + members.LET_GO_MS, ROUND + node), None)
     desk.draft.put(rows.HANDS, node, None)
     gangs = []
     for gang, number in desk.on_node(node):
         if desk.member(gang, number).old_node == node:
-            steps.let_go(desk, gang, number)
+            transitions.let_go(desk, gang, number)
             gangs.append(gang)
     return list(dict.fromkeys(gangs))
 
@@ -231,9 +233,9 @@
     desk.gang(order.gang)
     leaves = member.state == "fencing" and member.old_node == by and order.fence >= member.old_fence
     if leaves and not isinstance(order, orders.Started):
-        steps.let_go(desk, order.gang, order.member)
+        transitions.let_go(desk, order.gang, order.member)
         return True
-    spot = seats.live(member)
+    spot = members.live(member)
     if spot is None or spot.node != by or spot.fence != order.fence:
         raise Refusal(f"{where}: fence {order.fence} on {by} is not where it runs; nothing changes")
     if isinstance(order, orders.Started):
@@ -243,9 +245,9 @@
         return True
     why = order.reason if isinstance(order, orders.Failed) else "stopped without an order"
     row = desk.change(order.gang, tries=desk.gang(order.gang).tries + 1)
-    if row.tries >= steps.MOST_TRIES and row.state not in ("done", "failed", "waiting"):
-        steps.over(desk, order.gang, "failed", f"fell {row.tries} times since epoch {row.epoch}; last: {why}")
-    steps.lost(desk, order.gang, [order.member], f"member {order.member} on {by}: {why}", gone=True)
+    if row.tries >= transitions.MOST_TRIES and row.state not in ("done", "failed", "waiting"):
+        transitions.over(desk, order.gang, "failed", f"fell {row.tries} times since epoch {row.epoch}; last: {why}")
+    transitions.lost(desk, order.gang, [order.member], f"member {order.member} on {by}: {why}", gone=True)
     return True
 
 
@@ -257,9 +259,9 @@
         raise Refusal(f"{order.gang}: no member of it is on {desk.context.by}")
     desk.change(
         order.gang,
-        cost_ms=interval.measured(row.cost_ms, order.cost_ms),
-        load_ms=interval.measured(row.load_ms, order.load_ms),
+        cost_ms=checkpoint_interval.measured(row.cost_ms, order.cost_ms),
+        load_ms=checkpoint_interval.measured(row.load_ms, order.load_ms),
     )
 
 
-PIECE = Gangs(Agreed(), clean.prefer)
+PIECE = Gangs(Agreed(), carbon_placement.prefer)
--- a/brookreach/gangs/clean.py
+++ b/brookreach/gang_scheduling/carbon_placement.py
@@ -10,12 +10,12 @@
 import zlib
 from functools import lru_cache
 
-from brookreach.gangs import steps
-from brookreach.gangs.book import Desk
-from brookreach.gangs.rows import GANGS, QUEUE, GangRow
-from brookreach.power.choose import Flexible, choose
-from brookreach.power.reserve import from_slot, release, take
-from brookreach.power.rows import CURRENT, HOLDS, SLOT_MS, HoldRow
+from brookreach.carbon_aware.reservations import from_slot, release, take
+from brookreach.carbon_aware.scheduler import Flexible, choose
+from brookreach.carbon_aware.tables import CURRENT, HOLDS, SLOT_MS, HoldRow
+from brookreach.gang_scheduling import transitions
+from brookreach.gang_scheduling.tables import GANGS, QUEUE, GangRow
+from brookreach.gang_scheduling.transaction import Desk
 
 MOST_PLANS = 4  # in one record, on average: each can take 20 ms, and a leader not heard for 300 is replaced
 TURN_MS = 5_000  # as rounds of placing come
@@ -51,7 +51,7 @@
         return (), desk.now
     if not its_turn(desk, name):
         return as_held(desk, name)
-    left = steps.left_ms(row, desk.now) + row.load_ms + row.cost_ms
+    left = transitions.left_ms(row, desk.now) + row.load_ms + row.cost_ms
     job = Flexible(
         who(name),
         row.members * row.room,
--- a/brookreach/gangs/interval.py
+++ b/brookreach/gang_scheduling/checkpoint_interval.py
@@ -8,7 +8,7 @@
 
 from math import isqrt
 
-from brookreach.gangs.rows import GangRow, SumsRow
+from brookreach.gang_scheduling.tables import GangRow, SumsRow
 
 PRIOR_MS = 30 * 86_400_000  # of one member between failures, until more was measured: counts as one failure
 LEAST_MS = 1000
--- a/brookreach/gangs/epochs.py
+++ b/brookreach/gang_scheduling/checkpoints.py
@@ -8,19 +8,19 @@
 
 from msgspec.structs import replace
 
-from brookreach.fleet.piece import Refusal
-from brookreach.gangs import steps
-from brookreach.gangs.book import Desk
-from brookreach.gangs.move import leaves_ms
-from brookreach.gangs.orders import Confirmed
-from brookreach.gangs.rows import GangRow
+from brookreach.coordination.state_machine.application import Refusal
+from brookreach.gang_scheduling import transitions
+from brookreach.gang_scheduling.commands import Confirmed
+from brookreach.gang_scheduling.migration import leaves_ms
+from brookreach.gang_scheduling.tables import GangRow
+from brookreach.gang_scheduling.transaction import Desk
 
 GIVE_UP_MS = 30_000  # and four times the cost
 
 
 def ask(desk: Desk, name: str, reason: str) -> None:
     """All members pause at one point of the work and keep it."""
-    row = steps.paused(desk, name, desk.gang(name), "checkpointing", reason)
+    row = transitions.paused(desk, name, desk.gang(name), "checkpointing", reason)
     wake = min(desk.next_look(), desk.now + GIVE_UP_MS + 4 * row.cost_ms)
     desk.change(name, asked_epoch=row.asked_epoch + 1, asked_ms=desk.now, wake_ms=wake)
 
@@ -63,7 +63,7 @@
     desk.change(name, epoch=row.asked_epoch, kept_ms=kept, done_ms=0, tries=0)
     if kept >= row.work_ms:
         late = f", {desk.now - row.deadline_ms} ms late" if 0 < row.deadline_ms < desk.now else ""
-        steps.over(desk, name, "done", f"done with epoch {row.asked_epoch}{late}")
+        transitions.over(desk, name, "done", f"done with epoch {row.asked_epoch}{late}")
         return
     _leave(desk, name, row.reason)
 
@@ -71,12 +71,12 @@
 def _leave(desk: Desk, name: str, reason: str) -> None:
     """Those for whom room is held go to it, those that died meanwhile too; the others stay, paused."""
     row = desk.gang(name)
-    until = steps.ends_ms(desk, row, load=True)
+    until = transitions.ends_ms(desk, row, load=True)
     spots, homeless, dead = {}, [], False
     for number, member in desk.members(name):
         dead = dead or member.state != "running"
         there = replace(member, node=member.next_node, life=member.next_life)
-        if member.next_node and steps.homely(desk, there, until):
+        if member.next_node and transitions.homely(desk, there, until):
             spots[number] = member.next_node, member.next_life
         elif member.next_node or member.state != "running":
             homeless.append(number)
@@ -85,15 +85,15 @@
         found = desk.stock.fit(row, len(homeless), until, but=but)
         if found is None and dead:
             why = f"epoch {row.epoch} kept; no room for {len(homeless)} members, so all wait"
-            steps.to_waiting(desk, name, why)
+            transitions.to_waiting(desk, name, why)
             return
         spots |= {number: (one.node, one.life) for number, one in zip(homeless, found or [], strict=False)}
     if not spots:
-        steps.unreserve(desk, name)
-        steps.run_on(desk, name, "no room any more where it was to go" if homeless else "work goes on")
+        transitions.unreserve(desk, name)
+        transitions.run_on(desk, name, "no room any more where it was to go" if homeless else "work goes on")
         return
-    steps.set_out(desk, name, spots, "moving", reason)
-    steps.unreserve(desk, name)
+    transitions.set_out(desk, name, spots, "moving", reason)
+    transitions.unreserve(desk, name)
 
 
 def look(desk: Desk, name: str) -> None:
@@ -128,18 +128,18 @@
     """Members go on with their work, or, where one has fallen, all go back."""
     dead = [number for number, member in desk.members(name) if member.state != "running"]
     if dead:
-        steps.go_back(desk, name, dead, reason)
+        transitions.go_back(desk, name, dead, reason)
         return
-    steps.unreserve(desk, name)
-    steps.run_on(desk, name, reason)
+    transitions.unreserve(desk, name)
+    transitions.run_on(desk, name, reason)
 
 
 def _late(desk: Desk, name: str, reason: str) -> None:
     """Members that don't confirm in time: once or twice it may go on, then it is placed anew."""
     row = desk.change(name, tries=desk.gang(name).tries + 1)
-    if row.tries >= steps.MOST_TRIES:
-        steps.over(desk, name, "failed", reason)
+    if row.tries >= transitions.MOST_TRIES:
+        transitions.over(desk, name, "failed", reason)
     elif row.tries >= 3:
-        steps.to_waiting(desk, name, reason)
+        transitions.to_waiting(desk, name, reason)
     else:
         give_up(desk, name, reason)
--- a/brookreach/gangs/orders.py
+++ b/brookreach/gang_scheduling/commands.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from brookreach.fleet.piece import Context, Order, Refusal
-from brookreach.fleet.words import Count, Name, Text
+from brookreach.coordination.protocol.messages import Count, Name, Text
+from brookreach.coordination.state_machine.application import Context, Order, Refusal
 
 MOST_MEMBERS, MOST_ROOM, MOST_MS = 256, 1 << 32, 1 << 41  # the last: some seventy years
 
--- a/brookreach/gangs/permits.py
+++ b/brookreach/gang_scheduling/disruption_permits.py
@@ -8,9 +8,9 @@
 
 from typing import Protocol
 
-from brookreach.fleet.piece import Context, Draft, Refusal
-from brookreach.outages import permits
-from brookreach.outages.rows import PERMITS, PermitRow
+from brookreach.coordination.state_machine.application import Context, Draft, Refusal
+from brookreach.disruption import permits
+from brookreach.disruption.tables import PERMITS, PermitRow
 
 
 class Permits(Protocol):
@@ -30,7 +30,7 @@
 
 
 class Agreed:
-    """By the budgets, queue and halts of `brookreach.outages`."""
+    """By the budgets, queue and halts of `brookreach.disruption`."""
 
     def ask(self, draft: Draft, context: Context, name: str, node: str, urgency: int, reason: str) -> str:
         try:
--- a/brookreach/gangs/file.py
+++ b/brookreach/gang_scheduling/gang_file.py
@@ -10,10 +10,10 @@
 
 import msgspec
 
+from brookreach.coordination.state_machine.application import Refusal
 from brookreach.files import BadFile, checked, read_toml
-from brookreach.fleet.piece import Refusal
-from brookreach.gangs import orders
-from brookreach.gangs.orders import Gang, Members, Room, Span, Submit
+from brookreach.gang_scheduling import commands
+from brookreach.gang_scheduling.commands import Gang, Members, Room, Span, Submit
 
 
 class GangPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -52,7 +52,7 @@
             continue
         order = _order(one)
         try:
-            orders.proper(order, now_ms)
+            commands.proper(order, now_ms)
         except Refusal as refusal:
             errors.append(f"{where}: {refusal}")
         made.append(order)
--- a/brookreach/gangs/seats.py
+++ b/brookreach/gang_scheduling/members.py
@@ -12,7 +12,7 @@
 
 from msgspec.structs import replace
 
-from brookreach.gangs.rows import MemberRow
+from brookreach.gang_scheduling.tables import MemberRow
 
 LET_GO_MS = 15_000
 """After a session of an agent ended, before what it started is taken for stopped. More than the longest grant
--- a/brookreach/gangs/move.py
+++ b/brookreach/gang_scheduling/migration.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass
 from typing import Literal
 
-from brookreach.gangs.rows import GangRow
-from brookreach.outages.rows import NodeRow
+from brookreach.disruption.tables import NodeRow
+from brookreach.gang_scheduling.tables import GangRow
 
 AHEAD_MS = 1_800_000  # a notice farther off than this waits for the next checkpoint that is due anyway
 DRAIN_MS = 60_000  # what a node that drains is taken to stand for, from then on
--- a/brookreach/gangs/place.py
+++ b/brookreach/gang_scheduling/placement.py
@@ -14,9 +14,9 @@
 
 from sortedcontainers import SortedKeyList
 
-from brookreach.fleet.piece import View
-from brookreach.gangs.rows import HANDS, ROOMS, GangRow
-from brookreach.outages.rows import NODES, RELEASES, NodeRow
+from brookreach.coordination.state_machine.application import View
+from brookreach.disruption.tables import NODES, RELEASES, NodeRow
+from brookreach.gang_scheduling.tables import HANDS, ROOMS, GangRow
 
 HORIZON_MS = 6 * 3_600_000
 ON_TRIAL = ("waiting", "on", "halted", "going back", "sent back")
--- a/brookreach/gangs/queue.py
+++ b/brookreach/gang_scheduling/queue.py
@@ -9,10 +9,10 @@
 
 from collections.abc import Callable
 
-from brookreach.gangs import steps
-from brookreach.gangs.book import Desk
-from brookreach.gangs.place import Stock, allowed
-from brookreach.gangs.rows import PLACES, QUEUE, GangRow
+from brookreach.gang_scheduling import transitions
+from brookreach.gang_scheduling.placement import Stock, allowed
+from brookreach.gang_scheduling.tables import PLACES, QUEUE, GangRow
+from brookreach.gang_scheduling.transaction import Desk
 
 ROUND_MS = 5_000  # while anybody waits
 
@@ -33,16 +33,16 @@
             waits += 1
             _told(desk, name, row, f"waits until {begin} for cleaner power")
             continue
-        until = steps.ends_ms(desk, row, load=True)
+        until = transitions.ends_ms(desk, row, load=True)
         found = desk.stock.fit(row, row.members, until, zones)
         if found is None and promise is not None and until <= promise.at_ms:
             promise.lift(desk.stock)
             found = desk.stock.fit(row, row.members, until, zones)
             if found is not None:
-                steps.place(desk, name, found)
+                transitions.place(desk, name, found)
             promise.lay(desk.stock)
         elif found is not None:
-            steps.place(desk, name, found)
+            transitions.place(desk, name, found)
         if found is not None:
             continue
         waits += 1
@@ -100,7 +100,7 @@
     """When its room is free: of one that is being stopped, soon."""
     row = desk.gang(name)
     active = row.state in ("placing", "running", "checkpointing", "moving")
-    return steps.ends_ms(desk, row, load=False) if active else desk.now
+    return transitions.ends_ms(desk, row, load=False) if active else desk.now
 
 
 def promised(desk: Desk, name: str, row: GangRow) -> Promise:
@@ -110,7 +110,7 @@
     for key, place in desk.draft.rows(PLACES):
         node, other, _ = key.split("/")
         held.setdefault(other, []).append((node, place.room))
-    span = steps.ends_ms(desk, row, load=True) - desk.now
+    span = transitions.ends_ms(desk, row, load=True) - desk.now
     for at, other in sorted((_ends_ms(desk, other), other) for other in held):
         for node, room in held[other]:
             later.take(node, -room)
--- a/brookreach/gangs/look.py
+++ b/brookreach/gang_scheduling/reconcile.py
@@ -7,11 +7,12 @@
 
 from __future__ import annotations
 
-from brookreach.gangs import epochs, interval, move, seats, steps
-from brookreach.gangs.book import Desk
-from brookreach.gangs.move import Post, Sight, Step
-from brookreach.gangs.permits import named, node_of
-from brookreach.gangs.rows import GangRow
+from brookreach.gang_scheduling import checkpoint_interval, checkpoints, migration, transitions
+from brookreach.gang_scheduling import members as seats
+from brookreach.gang_scheduling.disruption_permits import named, node_of
+from brookreach.gang_scheduling.migration import Post, Sight, Step
+from brookreach.gang_scheduling.tables import GangRow
+from brookreach.gang_scheduling.transaction import Desk
 
 LAG_MS = 2000
 NOT_NOW = "a move is not wanted or possible any more"
@@ -21,7 +22,7 @@
 def look(desk: Desk, name: str) -> None:
     """Until its state stands still."""
     for _ in range(6):
-        steps.later_lives(desk, name)
+        transitions.later_lives(desk, name)
         row = desk.gang(name)
         _by_state(desk, name, row)
         if desk.draft.get("gangs", name) is None or desk.gang(name).state == row.state:
@@ -32,7 +33,7 @@
     if row.state == "running":
         _running(desk, name, row)
     elif row.state == "checkpointing":
-        epochs.look(desk, name)
+        checkpoints.look(desk, name)
     elif row.state in ("placing", "moving"):
         _gathering(desk, name, row)
     elif row.state == "waiting":
@@ -50,10 +51,10 @@
 def _ended(desk: Desk, name: str, row: GangRow) -> None:
     if _living(desk, name):
         desk.change(name, wake_ms=desk.next_look())
-    elif desk.now >= row.since_ms + steps.KEEP_MS:
+    elif desk.now >= row.since_ms + transitions.KEEP_MS:
         desk.remove(name)
     else:
-        desk.change(name, wake_ms=row.since_ms + steps.KEEP_MS)
+        desk.change(name, wake_ms=row.since_ms + transitions.KEEP_MS)
 
 
 def _gathering(desk: Desk, name: str, row: GangRow) -> None:
@@ -61,19 +62,19 @@
     members = desk.members(name)
     missing = [number for number, one in members if one.state != "running"]
     if not missing:
-        steps.run_on(desk, name, "all members run")
+        transitions.run_on(desk, name, "all members run")
         return
-    if desk.now >= steps.limit_ms(row):
+    if desk.now >= transitions.limit_ms(row):
         told = ", ".join(f"{one} on {members[one][1].node or 'no node'}" for one in missing)
         span = desk.now - row.since_ms
-        steps.to_waiting(desk, name, f"not whole after {span} ms, members {told}: all wait")
+        transitions.to_waiting(desk, name, f"not whole after {span} ms, members {told}: all wait")
         return
-    until = steps.ends_ms(desk, row, load=True)
-    unfit = [n for n in missing if not steps.homely(desk, members[n][1], until)]
+    until = transitions.ends_ms(desk, row, load=True)
+    unfit = [n for n in missing if not transitions.homely(desk, members[n][1], until)]
     if unfit:
         _elsewhere(desk, name, row, unfit, until)
     if desk.gang(name).state == row.state:
-        desk.change(name, wake_ms=min(steps.limit_ms(row), desk.next_look()))
+        desk.change(name, wake_ms=min(transitions.limit_ms(row), desk.next_look()))
 
 
 def _elsewhere(desk: Desk, name: str, row: GangRow, unfit: list[int], until: int) -> None:
@@ -88,21 +89,21 @@
         if found is not None:
             spots[number] = found[nth].node, found[nth].life
             told.append(f"{member.node} to {found[nth].node}")
-        elif not steps.tolerable(desk, member):
+        elif not transitions.tolerable(desk, member):
             why = f"{member.node or 'a target'} is out and there is no room elsewhere: all wait"
-            steps.to_waiting(desk, name, why)
+            transitions.to_waiting(desk, name, why)
             return
     if spots:
-        steps.set_out(desk, name, spots, row.state, f"targets that leave: {', '.join(told)}")
+        transitions.set_out(desk, name, spots, row.state, f"targets that leave: {', '.join(told)}")
 
 
 def _running(desk: Desk, name: str, row: GangRow) -> None:
     members = desk.members(name)
     fallen = [number for number, one in members if one.state != "running"]
     if fallen:
-        steps.go_back(desk, name, fallen, f"members {', '.join(map(str, fallen))} do not run")
+        transitions.go_back(desk, name, fallen, f"members {', '.join(map(str, fallen))} do not run")
         return
-    posts = [Post(number, one.node, move.leaves_ms(desk.node(one.node), desk.now)) for number, one in members]
+    posts = [Post(number, one.node, migration.leaves_ms(desk.node(one.node), desk.now)) for number, one in members]
     sight = _sight(desk, name, row)
     leaving = {post.node for post in posts if post.leave_ms}
     since = {permit: desk.permits.given_ms(desk.draft, permit) for permit in row.permits}
@@ -114,22 +115,24 @@
         until = sight.finish_ms + row.load_ms + sight.unsaved_ms  # at the latest: should it have to go back
         return desk.stock.fit(row, len(numbers), until, but=sorted(leaving)) is not None
 
-    step = move.decide(sight, posts, given, room, lambda node: not move.needs_permit(desk.node(node), desk.now))
+    step = migration.decide(
+        sight, posts, given, room, lambda node: not migration.needs_permit(desk.node(node), desk.now)
+    )
     _take(desk, name, row, sight, posts, step)
 
 
 def _sight(desk: Desk, name: str, row: GangRow) -> Sight:
     # members begin a little after the record that says so, and the last checkpoint waits for them
-    left = row.work_ms - row.kept_ms - steps.unsaved_ms(row, desk.now) + LAG_MS
+    left = row.work_ms - row.kept_ms - transitions.unsaved_ms(row, desk.now) + LAG_MS
     return Sight(
         now=desk.now,
         left_ms=left,
-        finish_ms=steps.ends_ms(desk, row, load=False) + LAG_MS,
-        unsaved_ms=steps.unsaved_ms(row, desk.now),
+        finish_ms=transitions.ends_ms(desk, row, load=False) + LAG_MS,
+        unsaved_ms=transitions.unsaved_ms(row, desk.now),
         asked_ms=row.asked_ms,
         cost_ms=row.cost_ms,
         load_ms=row.load_ms,
-        interval_ms=interval.interval_ms(row, desk.sums()),
+        interval_ms=checkpoint_interval.interval_ms(row, desk.sums()),
         asked=bool(row.permits),
         gang=name,
     )
@@ -138,13 +141,13 @@
 def _take(desk: Desk, name: str, row: GangRow, sight: Sight, posts: list[Post], step: Step) -> None:
     """The step that was decided."""
     if step.act == "save":
-        epochs.ask(desk, name, step.reason)
+        checkpoints.ask(desk, name, step.reason)
     elif step.act == "leave":
         _reserve(desk, name, row, posts, step)
     elif step.act == "go back":
         if sight.unsaved_ms > sight.interval_ms // 8:  # a notice that left no time is as good as none
             desk.ran(0, 1)
-        steps.go_back(desk, name, step.movers, step.reason)
+        transitions.go_back(desk, name, step.movers, step.reason)
     elif step.act == "ask":
         _ask(desk, name, row, sight, posts, step)
     else:
@@ -160,9 +163,9 @@
     for post in posts:
         if post.number not in step.movers or post.node in held:
             continue
-        if not move.needs_permit(desk.node(post.node), desk.now):
+        if not migration.needs_permit(desk.node(post.node), desk.now):
             continue
-        urgent = move.urgency(row, sight, post.leave_ms)
+        urgent = migration.urgency(row, sight, post.leave_ms)
         permit = named(name, desk.index, post.number)
         refused = desk.permits.ask(desk.draft, desk.context, permit, post.node, urgent, step.reason[:200])
         if refused:
@@ -176,11 +179,11 @@
 def _reserve(desk: Desk, name: str, row: GangRow, posts: list[Post], step: Step) -> None:
     """Room for the movers is theirs from here on; they go to it once the checkpoint is whole."""
     leaving = sorted({post.node for post in posts if post.leave_ms})
-    until = steps.ends_ms(desk, row, load=True)
+    until = transitions.ends_ms(desk, row, load=True)
     found = desk.stock.fit(row, len(step.movers), until, but=leaving)
     if found is None:
         desk.change(name, reason=f"{step.reason}; no room any more", wake_ms=desk.now + PERMIT_MS)
         return
     for number, free in zip(step.movers, found, strict=True):
         desk.put_member(name, number, seats.reserved(desk.member(name, number), free.node, free.life))
-    epochs.ask(desk, name, step.reason)
+    checkpoints.ask(desk, name, step.reason)
--- a/brookreach/gangs/book.py
+++ b/brookreach/gang_scheduling/transaction.py
@@ -12,11 +12,12 @@
 
 from msgspec.structs import replace
 
-from brookreach.fleet.piece import Context, Draft, Refusal, View
-from brookreach.gangs import seats
-from brookreach.gangs.permits import Permits
-from brookreach.gangs.place import Stock
-from brookreach.gangs.rows import (
+from brookreach.coordination.state_machine.application import Context, Draft, Refusal, View
+from brookreach.disruption.tables import NODES, NodeRow
+from brookreach.gang_scheduling import members as seats
+from brookreach.gang_scheduling.disruption_permits import Permits
+from brookreach.gang_scheduling.placement import Stock
+from brookreach.gang_scheduling.tables import (
     DUES,
     GANGS,
     HANDS,
@@ -36,7 +37,6 @@
     SumsRow,
     WakeRow,
 )
-from brookreach.outages.rows import NODES, NodeRow
 
 LOOK_MS = 30_000  # a gang is looked at no later than this after the last time; `Noticed` brings it forward
 ROUND = "@"  # in the index of times: a round of placing
--- a/brookreach/gangs/steps.py
+++ b/brookreach/gang_scheduling/transitions.py
@@ -10,12 +10,13 @@
 
 from msgspec.structs import replace
 
-from brookreach.gangs import interval, seats
-from brookreach.gangs.book import Desk
-from brookreach.gangs.move import leaves_ms
-from brookreach.gangs.permits import node_of
-from brookreach.gangs.place import Free, stays
-from brookreach.gangs.rows import HANDS, GangRow, GangState, MemberRow
+from brookreach.gang_scheduling import checkpoint_interval
+from brookreach.gang_scheduling import members as seats
+from brookreach.gang_scheduling.disruption_permits import node_of
+from brookreach.gang_scheduling.migration import leaves_ms
+from brookreach.gang_scheduling.placement import Free, stays
+from brookreach.gang_scheduling.tables import HANDS, GangRow, GangState, MemberRow
+from brookreach.gang_scheduling.transaction import Desk
 
 PLACE_MS = 120_000  # and twice the load: no gang is placed in part for longer
 KEEP_MS = 7 * 86_400_000  # an ended gang's rows
@@ -40,7 +41,7 @@
     last one.
     """
     left = left_ms(row, desk.now)
-    saves = left // interval.interval_ms(row, desk.sums()) + 1
+    saves = left // checkpoint_interval.interval_ms(row, desk.sums()) + 1
     return desk.now + left + saves * row.cost_ms + (row.load_ms if load else 0)
 
 
--- a/brookreach/model/keepers_crowd.py
+++ b/brookreach/model/keepers_crowd.py
@@ -12,22 +12,23 @@
 from collections.abc import Callable
 from functools import partial
 
-from brookreach.fleet import sessions, words
-from brookreach.fleet.client import Client
-from brookreach.fleet.events import Joined, SessionLost
-from brookreach.fleet.keeper import Keeper
-from brookreach.fleet.machine import Machine
-from brookreach.fleet.piece import Context, Order
-from brookreach.fleet.seal import sealed
-from brookreach.fleet.seams import Ready, Save, Timing
-from brookreach.fleet.store import MemoryDisk
-from brookreach.fleet.stream import BOUNDS, HEAD
+from brookreach.applications import pieces
+from brookreach.coordination.client.client import Client
+from brookreach.coordination.client.events import Joined, SessionLost
+from brookreach.coordination.ports import Ready, Save, Timing
+from brookreach.coordination.protocol import messages
+from brookreach.coordination.protocol.frames import sealed
+from brookreach.coordination.protocol.stream import BOUNDS, HEAD
+from brookreach.coordination.server.replica import Keeper
+from brookreach.coordination.state_machine import sessions
+from brookreach.coordination.state_machine.application import Context, Order
+from brookreach.coordination.state_machine.machine import Machine
+from brookreach.coordination.storage.store import MemoryDisk
+from brookreach.disruption.application import PIECE
+from brookreach.disruption.balancer_client import SERVICE, WATCHED
+from brookreach.disruption.commands import BudgetFor, MarshalSeen, NodeSeen, SetBudgets
+from brookreach.disruption.tables import PERMITS
 from brookreach.model.keepers_wire import LEAST_MS, Uplink
-from brookreach.outages.attend import SERVICE, WATCHED
-from brookreach.outages.orders import BudgetFor, MarshalSeen, NodeSeen, SetBudgets
-from brookreach.outages.piece import PIECE
-from brookreach.outages.rows import PERMITS
-from brookreach.together import pieces
 
 NAMES = ("k1", "k2", "k3")
 WALL = 1_800_000_000_000
@@ -52,7 +53,7 @@
 def fleet(nodes: int) -> Machine:
     """A state with so many nodes, ready and warm, whose agents have no sessions: none ends meanwhile."""
     machine = Machine(pieces())
-    machine.apply(words.Entry(1, 1, sessions.ordered(sessions.Passed(), WALL)))
+    machine.apply(messages.Entry(1, 1, sessions.ordered(sessions.Passed(), WALL)))
     orders: list[tuple[str, str, Order]] = [("op", "operator", budgets(nodes))]
     orders += [(f"n{nth}", "agent", seen(f"n{nth}")) for nth in range(nodes)]
     for by, kind, order in orders:
@@ -165,7 +166,7 @@
 
     # --- the wire ---
 
-    def _say(self, source: str, target: str, body: words.Body) -> None:
+    def _say(self, source: str, target: str, body: messages.Body) -> None:
         octets = HEAD + len(sealed(KEY, "g", source, target, body))
         if source in self.keepers:
             self.handed[source] += octets
@@ -182,10 +183,10 @@
             self.links[source] = Uplink(self.rate, self.chance, self.at)
         self.links[source].put(self.now, target, octets, arrives)
 
-    def _to_keeper(self, source: str, target: str, body: words.Body) -> None:
+    def _to_keeper(self, source: str, target: str, body: messages.Body) -> None:
         self._keeper(target, lambda one: one.hear(self.now, self.wall(), source, body))
 
-    def _to_client(self, source: str, target: str, body: words.Body, talk: int) -> None:
+    def _to_client(self, source: str, target: str, body: messages.Body, talk: int) -> None:
         client = self.clients[target]
         if self.talks[target] == talk and source in self.keepers:
             client.hear(self.now, source, body)
@@ -193,7 +194,7 @@
 
     # --- clients ---
 
-    def add(self, name: str, kind: words.Kind = "marshal") -> Client:
+    def add(self, name: str, kind: messages.Kind = "marshal") -> Client:
         watched = WATCHED if kind == "marshal" else (PERMITS,)
         tables = {one: PIECE.tables[one] for one in watched}
         client = self.clients[name] = Client(
--- a/brookreach/model/keepers_load.py
+++ b/brookreach/model/keepers_load.py
@@ -7,9 +7,9 @@
 
 import statistics
 
-from brookreach.fleet.seams import Timing
+from brookreach.coordination.ports import Timing
+from brookreach.disruption.commands import AskDrain
 from brookreach.model.keepers_crowd import Crowd, seen
-from brookreach.outages.orders import AskDrain
 
 SETTLE_MS = 5_000.0
 MOST_MS = 120_000.0
--- a/brookreach/model/keepers_store.py
+++ b/brookreach/model/keepers_store.py
@@ -17,9 +17,9 @@
 from collections import deque
 from pathlib import Path
 
-from brookreach.fleet.raft import Raft
-from brookreach.fleet.seams import Timing
-from brookreach.fleet.store import Store
+from brookreach.coordination.ports import Timing
+from brookreach.coordination.raft.node import Raft
+from brookreach.coordination.storage.store import Store
 
 NAMES = ("k1", "k2", "k3")
 STILL = Timing(election_ms=60_000.0)  # a slow disk is no reason to elect here
--- a/brookreach/model/keepers_times.py
+++ b/brookreach/model/keepers_times.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from brookreach.fleet.seams import Timing
+from brookreach.coordination.ports import Timing
 from brookreach.model.raftnet import Net, Node
 
 NAMES = "abcde"
--- a/brookreach/model/raftnet.py
+++ b/brookreach/model/raftnet.py
@@ -13,11 +13,11 @@
 
 import msgspec
 
-from brookreach.fleet.members import listed
-from brookreach.fleet.raft import Raft
-from brookreach.fleet.seams import Save, Timing
-from brookreach.fleet.store import MemoryDisk
-from brookreach.fleet.words import Body
+from brookreach.coordination.ports import Save, Timing
+from brookreach.coordination.protocol.messages import Body
+from brookreach.coordination.raft.membership import listed
+from brookreach.coordination.raft.node import Raft
+from brookreach.coordination.storage.store import MemoryDisk
 
 TIMING = Timing(cut_entries=40)
 _lists = msgspec.msgpack.Decoder(list[tuple[int, int, bytes]])
--- a/brookreach/net/answers.py
+++ b/brookreach/net/answers.py
@@ -10,7 +10,7 @@
 from collections import deque
 from typing import Protocol
 
-from .limits import Limits
+from brookreach.net.limits import Limits
 
 
 class Flushing(Protocol):
--- a/brookreach/net/client.py
+++ b/brookreach/net/client.py
@@ -12,13 +12,13 @@
 import time
 from typing import TYPE_CHECKING, Protocol
 
-from . import pgwire
-from .answers import AnswerQueue, Slot
-from .statement import BadStatement, Statement, harmless, statement
-from .stream import IN, Stream
+from brookreach.net import pgwire
+from brookreach.net.answers import AnswerQueue, Slot
+from brookreach.net.statement import BadStatement, Statement, harmless, statement
+from brookreach.net.stream import IN, Stream
 
 if TYPE_CHECKING:
-    from .clients import Clients
+    from brookreach.net.clients import Clients
 
 EXTENDED = (b"P", b"B", b"D", b"E", b"C", b"H")  # of the extended protocol, all but Sync
 
--- a/brookreach/net/clients.py
+++ b/brookreach/net/clients.py
@@ -12,11 +12,11 @@
 
 import anyio
 
-from . import pgwire
-from .client import Client, Taker
-from .limits import Limits
-from .report import Report
-from .stream import IN, Listener, Poller
+from brookreach.net import pgwire
+from brookreach.net.client import Client, Taker
+from brookreach.net.limits import Limits
+from brookreach.net.report import Report
+from brookreach.net.stream import IN, Listener, Poller
 
 
 class Clients:
--- a/brookreach/net/discovery.py
+++ b/brookreach/net/discovery.py
@@ -18,13 +18,12 @@
 from anyio.abc import TaskGroup
 
 from brookreach import interface as ifc
-
-from .backoff import Backoff
-from .http import LOST, Http, NotHttp
-from .limits import Limits
-from .link import Listed
-from .report import Report
-from .stream import address
+from brookreach.net.backoff import Backoff
+from brookreach.net.http import LOST, Http, NotHttp
+from brookreach.net.limits import Limits
+from brookreach.net.link import Listed
+from brookreach.net.report import Report
+from brookreach.net.stream import address
 
 STATES = {"active": ifc.NodeState.READY, "leaving": ifc.NodeState.DRAINING, "left": ifc.NodeState.GONE}
 PATH = "/registry/instances"
--- a/brookreach/net/driver.py
+++ b/brookreach/net/driver.py
@@ -18,17 +18,16 @@
 
 from brookreach import interface as ifc
 from brookreach.decide import Marshal
-
-from . import pgwire
-from .answers import Slot
-from .clock import Clock as Clock
-from .limits import Limits
-from .link import Listed, PickOutcome
-from .nodes import Nodes
-from .open_rpcs import OpenRpc, OpenRpcs
-from .report import Report
-from .statement import BadStatement, Statement
-from .stream import Expiring, Poller
+from brookreach.net import pgwire
+from brookreach.net.answers import Slot
+from brookreach.net.clock import Clock as Clock
+from brookreach.net.limits import Limits
+from brookreach.net.link import Listed, PickOutcome
+from brookreach.net.nodes import Nodes
+from brookreach.net.open_rpcs import OpenRpc, OpenRpcs
+from brookreach.net.report import Report
+from brookreach.net.statement import BadStatement, Statement
+from brookreach.net.stream import Expiring, Poller
 
 
 class Driver:
--- a/brookreach/net/link.py
+++ b/brookreach/net/link.py
@@ -12,14 +12,13 @@
 from typing import TYPE_CHECKING, Protocol
 
 from brookreach import interface as ifc
-
-from . import pgwire
-from .result import Result
-from .statement import Statement
-from .stream import IN, Expiring, Stream
+from brookreach.net import pgwire
+from brookreach.net.result import Result
+from brookreach.net.statement import Statement
+from brookreach.net.stream import IN, Expiring, Stream
 
 if TYPE_CHECKING:
-    from .nodes import Nodes
+    from brookreach.net.nodes import Nodes
 
 Ending = ifc.Ending
 HELLO = pgwire.hello("portal", "crm")
--- a/brookreach/net/nodes.py
+++ b/brookreach/net/nodes.py
@@ -9,13 +9,12 @@
 import time
 
 from brookreach import interface as ifc
-
-from . import pgwire
-from .limits import Limits
-from .link import Ending, Endpoint, HalfWritten, InFlight, Link, Listed, Owner, PickOutcome
-from .report import Report
-from .statement import Statement
-from .stream import Poller
+from brookreach.net import pgwire
+from brookreach.net.limits import Limits
+from brookreach.net.link import Ending, Endpoint, HalfWritten, InFlight, Link, Listed, Owner, PickOutcome
+from brookreach.net.report import Report
+from brookreach.net.statement import Statement
+from brookreach.net.stream import Poller
 
 
 class Nodes:
--- a/brookreach/net/open_rpcs.py
+++ b/brookreach/net/open_rpcs.py
@@ -6,8 +6,8 @@
 
 from __future__ import annotations
 
-from .answers import Slot
-from .statement import BadStatement, Statement
+from brookreach.net.answers import Slot
+from brookreach.net.statement import BadStatement, Statement
 
 
 class OpenRpc:
--- a/brookreach/net/platform.py
+++ b/brookreach/net/platform.py
@@ -16,12 +16,11 @@
 import anyio
 
 from brookreach import interface as ifc
-
-from .backoff import Backoff
-from .discovery import BAD_JSON
-from .http import LOST, Http, NotHttp
-from .limits import Limits
-from .report import Report
+from brookreach.net.backoff import Backoff
+from brookreach.net.discovery import BAD_JSON
+from brookreach.net.http import LOST, Http, NotHttp
+from brookreach.net.limits import Limits
+from brookreach.net.report import Report
 
 PHASES = {
     "Progressing": ifc.Phase.ON_TRIAL,
--- a/brookreach/net/result.py
+++ b/brookreach/net/result.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from .pgwire import HEAD, INT, BrokenStream, error_state
+from brookreach.net.pgwire import HEAD, INT, BrokenStream, error_state
 
 VALUE = 64 * 1024  # bytes of a value at most
 SELECTED, INSERTED = b"SELECT 1\0", b"INSERT 0 1\0"
--- a/brookreach/net/statement.py
+++ b/brookreach/net/statement.py
@@ -7,7 +7,7 @@
 
 import re
 
-from .pgwire import DONE, EMPTY, query
+from brookreach.net.pgwire import DONE, EMPTY, query
 
 
 class BadStatement(Exception):
--- a/brookreach/net/stream.py
+++ b/brookreach/net/stream.py
@@ -17,7 +17,7 @@
 
 import anyio
 
-from .pgwire import BrokenStream, Inbound
+from brookreach.net.pgwire import BrokenStream, Inbound
 
 IN, OUT = select.EPOLLIN, select.EPOLLOUT
 ENDED = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR  # the other side sends no more
--- a/brookreach/scale/control_cluster.py
+++ b/brookreach/scale/control_cluster.py
@@ -16,19 +16,19 @@
 
 import anyio
 
-from brookreach.drills.processes import Child, Children, Group, Ports
-from brookreach.drills.relay import Relay
-from brookreach.fleet import config
-from brookreach.fleet.events import Answered
-from brookreach.fleet.piece import Order
-from brookreach.fleet.seams import Save
-from brookreach.fleet.serve import disk_of
-from brookreach.fleet.talk import NotHeard, Talk
-from brookreach.fleet.words import Kind
+from brookreach.coordination import configuration
+from brookreach.coordination.client.events import Answered
+from brookreach.coordination.client.one_shot import NotHeard, Talk
+from brookreach.coordination.ports import Save
+from brookreach.coordination.protocol.messages import Kind
+from brookreach.coordination.server.process import disk_of
+from brookreach.coordination.state_machine.application import Order
+from brookreach.disruption.application import PIECE
 from brookreach.model.keepers_crowd import fleet
-from brookreach.outages.piece import PIECE
 from brookreach.scale.control_children import ChildFailed, HollowChild, Usage, usage
 from brookreach.scale.hollow_protocol import Figures
+from brookreach.simulation.processes.program import Child, Children, Group, Ports
+from brookreach.simulation.processes.relay import Relay
 
 MOST_ZONES, FEW_ZONES, FEW_MARSHALS = 6, 2, 48  # a zone has one process of hollow marshals; few marshals, few zones
 FIRST_PORT, LAST_PORT = 20_000, 32_000  # below those that the system gives to connections
@@ -95,8 +95,8 @@
             for zone, first, count in shares(size)
         ]
         self.file = self.group.file(DRIVER, size.timing())
-        self.told = config.read(self.file)
-        self.key = config.read_key(self.file, self.told)
+        self.told = configuration.read(self.file)
+        self.key = configuration.read_key(self.file, self.told)
         self.operator = self.talk("operator", "operator")
 
     def talk(self, name: str, kind: Kind) -> Talk:
@@ -107,7 +107,7 @@
         octets = fleet(self.size.nodes).snapshot()
         for name in self.keepers:
             path = self.group.file(name, self.size.timing())
-            disk = disk_of(path, config.read(path), name)
+            disk = disk_of(path, configuration.read(path), name)
             disk.found(self.keepers)
             disk.save(Save(1, "", 0, [], (1, 1, self.keepers, octets)))
             disk.close()
--- a/brookreach/scale/control_counts.py
+++ b/brookreach/scale/control_counts.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-from brookreach.fleet import words
-from brookreach.fleet.seams import Timing
+from brookreach.coordination.ports import Timing
+from brookreach.coordination.protocol import messages
+from brookreach.disruption.tables import MARSHALS, NODES, Standing
 from brookreach.model.keepers_crowd import Crowd, seen
-from brookreach.outages.rows import MARSHALS, NODES, Standing
 from brookreach.scale.figures import Slope, fit
 
 GBIT = 1.0
@@ -47,8 +47,8 @@
         self.rows: Counter[str] = Counter()
         super().__init__(nodes, seed, timing, GBIT)
 
-    def _say(self, source: str, target: str, body: words.Body) -> None:
-        if target.startswith("m") and isinstance(body, words.Changes | words.Whole):
+    def _say(self, source: str, target: str, body: messages.Body) -> None:
+        if target.startswith("m") and isinstance(body, messages.Changes | messages.Whole):
             self.rows.update(row.table for row in body.rows if row.key)
         super()._say(source, target, body)
 
--- a/brookreach/scale/control_day.py
+++ b/brookreach/scale/control_day.py
@@ -13,12 +13,12 @@
 import anyio
 import msgspec
 
-from brookreach.fleet.dial import now_ms
-from brookreach.fleet.piece import Order
-from brookreach.fleet.talk import NotHeard, Talk
+from brookreach.coordination.client.connection import now_ms
+from brookreach.coordination.client.one_shot import NotHeard, Talk
+from brookreach.coordination.state_machine.application import Order
+from brookreach.disruption.application import PIECE
+from brookreach.disruption.commands import AskDrain, BudgetFor, SetBudgets, TakeBack
 from brookreach.model.keepers_crowd import seen
-from brookreach.outages.orders import AskDrain, BudgetFor, SetBudgets, TakeBack
-from brookreach.outages.piece import PIECE
 from brookreach.scale.control_cluster import Cluster, start_talk
 
 DAY_CHANGES, DAY_RESTARTS, DAY_FAILURES, DAY_S = 1_100, 1_600, 30, 86_400.0
--- a/brookreach/scale/hollow_marshal.py
+++ b/brookreach/scale/hollow_marshal.py
@@ -15,11 +15,11 @@
 import anyio
 import anyio.abc
 
-from brookreach.fleet.client import Client
-from brookreach.fleet.dial import Call, Dial, now_ms
-from brookreach.fleet.events import Changed, Event, SessionLost
-from brookreach.outages.attend import WATCHED, Attendance
-from brookreach.outages.piece import PIECE
+from brookreach.coordination.client.client import Client
+from brookreach.coordination.client.connection import Call, Dial, now_ms
+from brookreach.coordination.client.events import Changed, Event, SessionLost
+from brookreach.disruption.application import PIECE
+from brookreach.disruption.balancer_client import WATCHED, Attendance
 from brookreach.scale.hollow_protocol import BUCKET_MS
 
 
--- a/brookreach/scale/marshal_process.py
+++ b/brookreach/scale/marshal_process.py
@@ -18,11 +18,11 @@
 import anyio
 import anyio.abc
 
-from brookreach.drills.stand import Site, asked
 from brookreach.net.stream import address
 from brookreach.scale import marshal_configuration as configured
 from brookreach.scale.marshal_build import Build
 from brookreach.scale.marshal_sizes import Size
+from brookreach.simulation.stand_ins import Site, asked
 
 NODE_STANDS = 8  # that all nodes of the list share: a marshal's own connections are bounded
 ANSWERS_WITHIN_S, ENDS_WITHIN_S = 60.0, 10.0
--- a/brookreach/scale/storm.py
+++ b/brookreach/scale/storm.py
@@ -14,10 +14,10 @@
 import anyio
 import msgspec
 
-from brookreach.fleet.dial import now_ms
-from brookreach.fleet.talk import NotHeard
-from brookreach.outages.orders import BudgetFor, SetBudgets
-from brookreach.outages.rows import MARSHALS
+from brookreach.coordination.client.connection import now_ms
+from brookreach.coordination.client.one_shot import NotHeard
+from brookreach.disruption.commands import BudgetFor, SetBudgets
+from brookreach.disruption.tables import MARSHALS
 from brookreach.scale.control_cluster import AT_ONCE, DRIVER, Cluster, Size, open_cluster
 from brookreach.scale.control_day import change
 from brookreach.scale.hollow_protocol import Figures
