--- a/brookreach/drills/power_watch.py
+++ b/brookreach/simulation/carbon_aware/observer_invariants.py
@@ -8,10 +8,10 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from brookreach.drills.pieces_processes import Town
-from brookreach.fleet.events import Changed
-from brookreach.fleet.piece import View
-from brookreach.power.rows import CURRENT, HOLDS, OFFERS, RESERVED, SCHEDULES, CurrentRow, version_key
+from brookreach.carbon_aware.tables import CURRENT, HOLDS, OFFERS, RESERVED, SCHEDULES, CurrentRow, version_key
+from brookreach.coordination.client.events import Changed
+from brookreach.coordination.state_machine.application import View
+from brookreach.simulation.processes.application_drill import Town
 
 Spans = tuple[tuple[str, int, int, int], ...]
 
--- /dev/null
+++ b/brookreach/simulation/coordination/__init__.py
@@ -0,0 +1,1 @@
+"""Simulation of the coordination service: client scripts, invariants, injected defects."""
--- a/brookreach/drills/fleet_plants.py
+++ b/brookreach/simulation/coordination/defects.py
@@ -7,16 +7,19 @@
 from dataclasses import replace
 from typing import Any
 
-from brookreach.drills import faults, parties
-from brookreach.drills.plant import Plants
-from brookreach.fleet import keeper, raft, seal, snapshots, words
-from brookreach.fleet.core import Core
-from brookreach.fleet.lead import Lead
-from brookreach.fleet.machine import Machine
-from brookreach.fleet.replicate import Leading
-from brookreach.fleet.seams import Save, Timing
-from brookreach.fleet.sessions import ANSWERS, SESSIONS, asked
-from brookreach.fleet.tables import Tables
+from brookreach.coordination.ports import Save, Timing
+from brookreach.coordination.protocol import frames, messages
+from brookreach.coordination.raft import node
+from brookreach.coordination.raft.node_state import Core
+from brookreach.coordination.raft.replication import Leading
+from brookreach.coordination.server import replica
+from brookreach.coordination.server.leader import Lead
+from brookreach.coordination.state_machine import snapshots
+from brookreach.coordination.state_machine.machine import Machine
+from brookreach.coordination.state_machine.sessions import ANSWERS, SESSIONS, asked
+from brookreach.coordination.state_machine.tables import Tables
+from brookreach.simulation.defect import Plants
+from brookreach.simulation.engine import faults, participants
 
 
 class NoRound(Leading):
@@ -46,10 +49,10 @@
 class Twice(Lead):
     """A question that comes again is put into the log again, under a number of its own."""
 
-    def _ask(self, now: float, source: str, ask: words.Ask) -> None:
+    def _ask(self, now: float, source: str, ask: messages.Ask) -> None:
         last = self.machine.view.get(ANSWERS, source)
         if last is not None and last.session == ask.session and last.seq == ask.seq:
-            again = words.Ask(ask.session, ask.seq + 1, ask.piece, ask.version, ask.body)
+            again = messages.Ask(ask.session, ask.seq + 1, ask.piece, ask.version, ask.body)
             self.raft.propose(now, asked(again, self.clock.at(now), source, "marshal"))
         super()._ask(now, source, ask)
 
@@ -77,25 +80,25 @@
 def no_seal(right: Any) -> Any:
     """Whatever can be read is taken."""
 
-    def opened(key: bytes, group: str, me: str, octets: bytes, may: Any = words.TABLE) -> Any:
-        rest = octets[seal.SEAL :]
-        return right(key, group, me, seal.hmac.digest(key, rest, "sha256")[: seal.SEAL] + rest, may)
+    def opened(key: bytes, group: str, me: str, octets: bytes, may: Any = messages.TABLE) -> Any:
+        rest = octets[frames.SEAL :]
+        return right(key, group, me, frames.hmac.digest(key, rest, "sha256")[: frames.SEAL] + rest, may)
 
     return opened
 
 
 PLANTS: Plants = {
-    "stale-read": (raft, "Leading", lambda right: NoRound),
-    "older-terms": (raft, "Leading", lambda right: OlderTerms),
-    "vote-not-saved": (raft, "Core", lambda right: Forgetful),
-    "no-drift": (parties, "told", no_drift),
-    "twice": (keeper, "Lead", lambda right: Twice),
-    "snapshot-without-sessions": (keeper, "Machine", lambda right: Dropping),
+    "stale-read": (node, "Leading", lambda right: NoRound),
+    "older-terms": (node, "Leading", lambda right: OlderTerms),
+    "vote-not-saved": (node, "Core", lambda right: Forgetful),
+    "no-drift": (participants, "told", no_drift),
+    "twice": (replica, "Lead", lambda right: Twice),
+    "snapshot-without-sessions": (replica, "Machine", lambda right: Dropping),
     # No defect: a known limit.
     "older-disk": (faults, "THEMES", lambda right: {"all": ("older", "kill", "leader killed")}),
 }
 MUTATION_PLANTS: Plants = {
-    "no-seal": (seal, "opened", no_seal),
-    "any-term": (raft, "MOST_JUMP", lambda right: 1 << 60),
-    "twice": (keeper, "Lead", lambda right: Twice),
+    "no-seal": (frames, "opened", no_seal),
+    "any-term": (node, "MOST_JUMP", lambda right: 1 << 60),
+    "twice": (replica, "Lead", lambda right: Twice),
 }
--- a/brookreach/drills/reader.py
+++ b/brookreach/simulation/coordination/patient_reader.py
@@ -9,10 +9,10 @@
 
 from typing import Any
 
-from brookreach.drills.party import Party
-from brookreach.drills.world import World
-from brookreach.fleet import words
-from brookreach.fleet.seams import Timing
+from brookreach.coordination.ports import Timing
+from brookreach.coordination.protocol import messages
+from brookreach.simulation.engine.process import Party
+from brookreach.simulation.engine.world import World
 
 EVERY_MS, AGAIN_MS, RENEW = 40.0, 200.0, 6  # between reads, before it joins again, reads to a Renew
 
@@ -43,19 +43,19 @@
             if self.now() >= self.joins_at:
                 self.hang_up()
                 self.connection, self.joins_at = self.connection + 1, self.now() + 4.0 * AGAIN_MS
-                self.say(self.target, words.Join(self.name, "operator", 0, 1))
+                self.say(self.target, messages.Join(self.name, "operator", 0, 1))
             return
-        self.say(self.target, words.Read(self.life << 32 | self.count, self.table, ""))
+        self.say(self.target, messages.Read(self.life << 32 | self.count, self.table, ""))
         if self.count % RENEW == 0:
-            self.say(self.target, words.Renew(self.session, self.count))
+            self.say(self.target, messages.Renew(self.session, self.count))
 
     def leave(self) -> None:
         self.session, self.joins_at = 0, self.now() + AGAIN_MS
 
-    def hear(self, source: str, body: words.Body) -> None:
-        if isinstance(body, words.Joined):
+    def hear(self, source: str, body: messages.Body) -> None:
+        if isinstance(body, messages.Joined):
             self.session = body.session
-        elif isinstance(body, words.Sorry):
+        elif isinstance(body, messages.Sorry):
             self.leave()
 
     def fell(self) -> None:
--- a/brookreach/drills/fleet_processes.py
+++ b/brookreach/simulation/coordination/process_drill.py
@@ -14,10 +14,10 @@
 
 import anyio
 
-from brookreach.drills.facts import Facts, Node
-from brookreach.drills.processes import FOUND_S, Child, Children, Group, played
-from brookreach.drills.relay import Relay
-from brookreach.drills.report import Report, Violation
+from brookreach.simulation.processes.counter_invariants import Facts, Node
+from brookreach.simulation.processes.program import FOUND_S, Child, Children, Group, played
+from brookreach.simulation.processes.relay import Relay
+from brookreach.simulation.report import Report, Violation
 
 RUN_S = 6.0
 MEND_S, START_S = 180.0, 300.0  # seconds of an idle machine, minutes of one that is busy with other work
--- a/brookreach/drills/reference.py
+++ b/brookreach/simulation/coordination/reference_model.py
@@ -8,11 +8,11 @@
 
 import msgspec
 
-from brookreach.fleet import words
-from brookreach.fleet.machine import Machine
-from brookreach.fleet.piece import Piece, View
-from brookreach.fleet.seams import Applied
-from brookreach.fleet.sessions import ANSWERS, SESSIONS
+from brookreach.coordination.ports import Applied
+from brookreach.coordination.protocol import messages
+from brookreach.coordination.state_machine.application import Piece, View
+from brookreach.coordination.state_machine.machine import Machine
+from brookreach.coordination.state_machine.sessions import ANSWERS, SESSIONS
 
 
 def weight(key: str, octets: bytes) -> int:
@@ -43,8 +43,8 @@
 
     session: int = 0
     asked: dict[tuple[int, int], Asked] = field(default_factory=dict)
-    reads: dict[int, tuple[words.Read, int]] = field(default_factory=dict)  # by seq: it, the least place
-    parts: dict[int, list[words.Change]] = field(default_factory=dict)
+    reads: dict[int, tuple[messages.Read, int]] = field(default_factory=dict)  # by seq: it, the least place
+    parts: dict[int, list[messages.Change]] = field(default_factory=dict)
     read_at: int = 0  # the place of the last answer
 
 
@@ -55,13 +55,13 @@
         self.machine = Machine(pieces)
         self.tables = [table for piece in pieces for table in piece.tables]
         self.ground = (SESSIONS, ANSWERS)
-        self.entries: dict[int, words.Entry] = {}
+        self.entries: dict[int, messages.Entry] = {}
         self.rows: dict[tuple[str, str], bytes] = {}
         self.sums: dict[str, int] = dict.fromkeys(self.tables, 0)
         self.at: dict[int, dict[str, int]] = {0: self.sums | dict.fromkeys(self.ground, 0)}
         self.last = 0
 
-    def take(self, entry: words.Entry) -> tuple[Applied, dict[tuple[str, str], bytes | None]]:
+    def take(self, entry: messages.Entry) -> tuple[Applied, dict[tuple[str, str], bytes | None]]:
         applied, before = self.machine.apply(entry), dict[tuple[str, str], bytes | None]()
         for one in applied.changes:
             if one.table not in self.sums:
--- a/brookreach/drills/toy.py
+++ b/brookreach/simulation/coordination/sample_application.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from brookreach.fleet import words
-from brookreach.fleet.piece import Context, Order, Put, Refusal, Row, View
+from brookreach.coordination.protocol import messages
+from brookreach.coordination.state_machine.application import Context, Order, Put, Refusal, Row, View
 
 MARKS, COUNTS, HOLDS = "marks", "counts", "holds"
 
@@ -34,17 +34,17 @@
 
 
 class Add(Order):
-    token: words.Name
-    counter: words.Name
+    token: messages.Name
+    counter: messages.Name
 
 
 class Take(Order):
-    what: words.Name
+    what: messages.Name
 
 
 class Drop(Order):
-    what: words.Name
-    fence: words.Count
+    what: messages.Name
+    fence: messages.Count
 
 
 class Toy:
--- a/brookreach/drills/outages_watch.py
+++ b/brookreach/simulation/disruption/observer_invariants.py
@@ -9,11 +9,11 @@
 import re
 from typing import Any, NamedTuple
 
-from brookreach.drills.pieces_processes import BEGINS, Town
-from brookreach.fleet.events import Changed
-from brookreach.fleet.piece import View
-from brookreach.outages.rows import HALT, NODES, PERMITS, HaltRow, PermitRow
-from brookreach.outages.targets import OUT
+from brookreach.coordination.client.events import Changed
+from brookreach.coordination.state_machine.application import View
+from brookreach.disruption.tables import HALT, NODES, PERMITS, HaltRow, PermitRow
+from brookreach.disruption.targets import OUT
+from brookreach.simulation.processes.application_drill import BEGINS, Town
 
 GRACE_S, BACK_S = 0.25, 0.1  # rule 3; how far a log's line may be behind what it tells of
 ACT = re.compile(r"(\S+) (ready|draining|down), life (\d+), agreed at place (\d+)")
--- a/brookreach/drills/outages_breaks.py
+++ b/brookreach/simulation/disruption/process_faults.py
@@ -7,13 +7,13 @@
 
 import anyio
 
-from brookreach.drills.operators import LEASE_S
-from brookreach.drills.pieces_processes import KEEPERS
-from brookreach.fleet.events import Answered
-from brookreach.outages import orders, rows
+from brookreach.coordination.client.events import Answered
+from brookreach.disruption import commands, tables
+from brookreach.simulation.processes.application_drill import KEEPERS
+from brookreach.simulation.processes.operators import LEASE_S
 
 if TYPE_CHECKING:
-    from brookreach.drills.outages_processes import Play
+    from brookreach.simulation.disruption.process_drill import Play
 
 CUT_S, ASK_S = 1.2, 0.8
 
@@ -62,7 +62,7 @@
         """One has a permit to restart; all are ended and begin again. Its permit ends as it is back."""
         town, play = self.town, self.play
         name = f"r{play.drains}"
-        order = orders.AskRestart(name, self.chance.choice(play.marshals), 5, "drill")
+        order = commands.AskRestart(name, self.chance.choice(play.marshals), 5, "drill")
         await play.bob.ask("outages", order)
         for one in play.marshals:
             code = await anyio.to_thread.run_sync(town.children.all[one].end)
@@ -70,8 +70,8 @@
         town.start(play.marshals)
 
         def back() -> bool:
-            marshals = dict(play.eye.client.mirror.rows(rows.MARSHALS))
-            permit = play.eye.client.mirror.get(rows.PERMITS, name)
+            marshals = dict(play.eye.client.mirror.rows(tables.MARSHALS))
+            permit = play.eye.client.mirror.get(tables.PERMITS, name)
             return all(one in marshals and marshals[one].standing == "ready" for one in play.marshals) and (
                 permit is None or permit.state not in ("given", "returning")
             )
@@ -83,7 +83,7 @@
     async def same_drain(self) -> None:
         """Both ask for the same by the same name at once: one permit, and both hear so or are refused."""
         name, answers = f"same{self.play.drains}", list[Answered | None]()
-        order = orders.AskDrain(name, self.chance.choice(self.play.names), 5, "drill")
+        order = commands.AskDrain(name, self.chance.choice(self.play.names), 5, "drill")
 
         async def ask(one: Any) -> None:
             answers.append(await one.ask("outages", order))
@@ -102,20 +102,20 @@
         old, new = await self.halt(play.ann), await self.halt(play.bob)
         if not old or not new:
             return
-        answer = await play.ann.ask("outages", orders.Resume(old, "drill"))
+        answer = await play.ann.ask("outages", commands.Resume(old, "drill"))
         self.town.look("an old fence lifts nothing", answer is None or not answer.ok, lambda: f"{old}: {answer}")
         await anyio.sleep(0.5)  # meanwhile drains are asked for
-        halt = play.eye.client.mirror.get(rows.HALT, "all")
+        halt = play.eye.client.mirror.get(tables.HALT, "all")
         self.town.look("an old fence lifts nothing", halt is not None and halt.fence == new, lambda: f"{new}: {halt}")
         await play.resume()
 
     async def halt(self, one: Any) -> int:
         """Its fence as it was acknowledged, 0 where that is not known."""
-        answer = await one.ask("outages", orders.Halt("drill"))
+        answer = await one.ask("outages", commands.Halt("drill"))
         if answer is None or not answer.ok:
             return 0
         await self.play.come_to(answer.index)
-        halt = self.play.eye.client.mirror.get(rows.HALT, "all")
+        halt = self.play.eye.client.mirror.get(tables.HALT, "all")
         self.town.look(
             "an acknowledged halt stands",
             halt is not None and halt.fence >= answer.index,
@@ -134,7 +134,7 @@
             way.cut = True
         await anyio.sleep(0.05)
         before = len(play.ann.all)
-        seq = play.bob.say("outages", orders.Halt("from the losing side"))
+        seq = play.bob.say("outages", commands.Halt("from the losing side"))
         await town.until(
             lambda: len(play.ann.all) > before, "the greater half goes on", why=lambda: f"{leader} is cut off"
         )
--- a/brookreach/drills/outages_group.py
+++ b/brookreach/simulation/disruption/sequential_group.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from brookreach.drills.ordered import Ordered
-from brookreach.fleet.piece import Context, Put, Refusal
-from brookreach.outages.piece import PIECE
+from brookreach.coordination.state_machine.application import Context, Put, Refusal
+from brookreach.disruption.application import PIECE
+from brookreach.simulation.engine.ordered_tables import Ordered
 
 
 def kept(tables: Mapping[str, type[Any]]) -> Mapping[str, type[Any]]:
--- a/brookreach/drills/disk.py
+++ b/brookreach/simulation/engine/disk.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from brookreach.fleet.seams import DiskError, Kept, Save
+from brookreach.coordination.ports import DiskError, Kept, Save
 
 MOST_OLDER = 64  # earlier states kept, for a disk that comes back older
 
--- a/brookreach/drills/ordered.py
+++ b/brookreach/simulation/engine/ordered_tables.py
@@ -7,7 +7,7 @@
 
 from sortedcontainers import SortedDict
 
-from brookreach.fleet.piece import Put
+from brookreach.coordination.state_machine.application import Put
 
 
 class Ordered:
--- a/brookreach/drills/parties.py
+++ b/brookreach/simulation/engine/participants.py
@@ -10,17 +10,17 @@
 from collections.abc import Sequence
 from typing import Any, Protocol
 
-from brookreach.drills.disk import MemoryDisk
-from brookreach.drills.faults import Fault
-from brookreach.drills.party import Party
-from brookreach.drills.wire import GROUP
-from brookreach.drills.world import World
-from brookreach.fleet import words
-from brookreach.fleet.client import Client
-from brookreach.fleet.events import Event
-from brookreach.fleet.keeper import Keeper
-from brookreach.fleet.piece import Piece, Row
-from brookreach.fleet.seams import Ready, Timing
+from brookreach.coordination.client.client import Client
+from brookreach.coordination.client.events import Event
+from brookreach.coordination.ports import Ready, Timing
+from brookreach.coordination.protocol import messages
+from brookreach.coordination.server.replica import Keeper
+from brookreach.coordination.state_machine.application import Piece, Row
+from brookreach.simulation.engine.disk import MemoryDisk
+from brookreach.simulation.engine.faults import Fault
+from brookreach.simulation.engine.process import Party
+from brookreach.simulation.engine.transit import GROUP
+from brookreach.simulation.engine.world import World
 
 MOST_TURNS = 1000  # rounds of ready and taken after one event, past which it never ends
 
@@ -59,7 +59,7 @@
         self.keeper.passed(self.now(), self.wall())
         self.flush()
 
-    def hear(self, source: str, body: words.Body) -> None:
+    def hear(self, source: str, body: messages.Body) -> None:
         self.keeper.hear(self.now(), self.wall(), source, body)
         self.flush()
 
@@ -148,7 +148,7 @@
         seats: tuple[str, ...],
         tables: dict[str, type[Row]],
         script: Script,
-        kind: words.Kind = "marshal",
+        kind: messages.Kind = "marshal",
     ):
         super().__init__(world, name, timing)
         self.seats, self.tables, self.script, self.kind = seats, tables, script, kind
@@ -176,7 +176,7 @@
         self.client.passed(self.now())
         self.flush()
 
-    def hear(self, source: str, body: words.Body) -> None:
+    def hear(self, source: str, body: messages.Body) -> None:
         self.client.hear(self.now(), source, body)
         self.flush()
 
@@ -204,7 +204,7 @@
 
     def flush(self) -> None:
         for target, body in self.client.out():
-            if isinstance(body, words.Join):
+            if isinstance(body, messages.Join):
                 self.hang_up()
                 self.target, self.connection = target, self.connection + 1
             self.say(target, body)
--- a/brookreach/drills/party.py
+++ b/brookreach/simulation/engine/process.py
@@ -12,13 +12,13 @@
 from collections.abc import Callable
 from typing import Any
 
-from brookreach.drills.disk import Died
-from brookreach.drills.faults import Fault
-from brookreach.drills.shape import shape
-from brookreach.drills.wire import Parcel, Reaction, clocks
-from brookreach.drills.world import World
-from brookreach.fleet import words
-from brookreach.fleet.seams import DiskError, Timing
+from brookreach.coordination.ports import DiskError, Timing
+from brookreach.coordination.protocol import messages
+from brookreach.simulation.engine.disk import Died
+from brookreach.simulation.engine.faults import Fault
+from brookreach.simulation.engine.state_digest import shape
+from brookreach.simulation.engine.transit import Parcel, Reaction, clocks
+from brookreach.simulation.engine.world import World
 
 EPOCH_MS = 1_800_000_000_000  # the wall clocks begin about here
 STEP_MS = 0.001  # an alarm rings a little late, never early
@@ -39,7 +39,7 @@
         self.missed: list[tuple[str, Any]] = []
         self.rings = math.inf  # true time of the alarm that counts
         self.target, self.connection = "", 0  # of a client: the keeper it dialled last, and how often it did
-        self.said: list[words.Body] = []
+        self.said: list[messages.Body] = []
         self.alarms, self.alarms_from = 0, 0.0
         world.parties[name] = self
 
@@ -113,7 +113,7 @@
             raise RuntimeError(f"it wakes {MOST_ALARMS} times in one ms")
         self.passed()
 
-    def frame(self, nth: int, source: str, body: words.Body) -> None:
+    def frame(self, nth: int, source: str, body: messages.Body) -> None:
         changed = nth == self.world.tampered
         before, self.said = shape(self.part()) if changed else 0, []
         self.guarded(self.hear, source, body)
@@ -121,7 +121,7 @@
             moved = not self.up or shape(self.part()) != before
             self.world.reaction = Reaction(said=tuple(self.said), changed=moved)
 
-    def say(self, target: str, body: words.Body, after_ms: float = 0.0) -> None:
+    def say(self, target: str, body: messages.Body, after_ms: float = 0.0) -> None:
         self.said.append(body)
         self.world.send(self.name, target, body, after_ms)
 
@@ -181,7 +181,7 @@
     def other(self, what: str, load: Any) -> None: ...
 
     @abstractmethod
-    def hear(self, source: str, body: words.Body) -> None: ...
+    def hear(self, source: str, body: messages.Body) -> None: ...
 
     @abstractmethod
     def part(self) -> Any: ...
--- a/brookreach/drills/wire.py
+++ b/brookreach/simulation/engine/transit.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from brookreach.fleet import words
+from brookreach.coordination.protocol import messages
 
 KEY, GROUP = b"the drills' own key, 32 bytes long", "drill"
 DOUBLE, LATE = 0.0, 0.002  # shares of frames that come twice, and late, where no fault is
@@ -36,7 +36,7 @@
     at_ms: float
     source: str
     target: str
-    body: words.Body
+    body: messages.Body
     octets: bytes
 
 
@@ -56,7 +56,7 @@
     """What is put on the way in a frame's place; `body` None where the reader is to refuse it."""
 
     octets: bytes
-    body: words.Body | None
+    body: messages.Body | None
     later_ms: float = 0.0
     source: str = ""  # as if another had sent it
 
@@ -69,7 +69,7 @@
     """What the reader of a changed frame did with it at once."""
 
     refused: str = ""
-    said: tuple[words.Body, ...] = ()
+    said: tuple[messages.Body, ...] = ()
     changed: bool = False
 
 
--- a/brookreach/drills/world.py
+++ b/brookreach/simulation/engine/world.py
@@ -15,13 +15,13 @@
 from collections.abc import Sequence
 from typing import TYPE_CHECKING, Any
 
-from brookreach.drills.faults import LEADER, Fault
-from brookreach.drills.wire import DOUBLE, GROUP, KEY, LATE, Frame, Link, Parcel, Reaction, Sent, Tamper
-from brookreach.fleet import seal, words
+from brookreach.coordination.protocol import frames, messages
+from brookreach.simulation.engine.faults import LEADER, Fault
+from brookreach.simulation.engine.transit import DOUBLE, GROUP, KEY, LATE, Frame, Link, Parcel, Reaction, Sent, Tamper
 
 if TYPE_CHECKING:
-    from brookreach.drills.checkers import Checkers
-    from brookreach.drills.party import Party
+    from brookreach.simulation.coordination.invariants import Checkers
+    from brookreach.simulation.engine.process import Party
 
 
 class World:
@@ -85,8 +85,8 @@
             self.chances[source, target] = random.Random(f"{self.seed} {source} {target}")
         return self.chances[source, target]
 
-    def send(self, source: str, target: str, body: words.Body, after_ms: float = 0.0) -> None:
-        octets = seal.sealed(KEY, GROUP, source, target, body)
+    def send(self, source: str, target: str, body: messages.Body, after_ms: float = 0.0) -> None:
+        octets = frames.sealed(KEY, GROUP, source, target, body)
         frame = Frame(self.frames, self.now, source, target, body, octets)
         self.frames += 1
         instead = self.watch(frame) if self.watch is not None else None
@@ -97,7 +97,7 @@
         for one in instead:
             if one.body is not None:
                 self.checkers.sent(self.now, one.source or source, target, one.body)
-            self.trace(source, f"> {target} {type(body).__name__} {one.octets[: seal.SEAL].hex()}")
+            self.trace(source, f"> {target} {type(body).__name__} {one.octets[: frames.SEAL].hex()}")
             self.carry(frame.nth, one.source or source, target, one.octets, after_ms + one.later_ms)
 
     def carry(self, nth: int, source: str, target: str, octets: bytes, later_ms: float) -> None:
@@ -132,9 +132,9 @@
         if self.link(source, target).cuts or not self.stands(party, parcel):
             return
         try:
-            frame = seal.opened(KEY, GROUP, target, parcel.octets)
+            frame = frames.opened(KEY, GROUP, target, parcel.octets)
             self.may(frame, party, source)
-        except words.Refused as error:
+        except messages.Refused as error:
             self.refused[error.name] += 1
             self.trace(target, f"refused {error.name}")
             if parcel.nth == self.tampered:
@@ -157,13 +157,13 @@
                 party.event("again", parcel.source)
         return parcel.connection == self.lines[line]
 
-    def may(self, frame: seal.Frame, party: Party, source: str) -> None:
+    def may(self, frame: frames.Frame, party: Party, source: str) -> None:
         """As a link does it: a connection has one name, and says only what that name's kind may."""
-        may: tuple[type, ...] = words.KEEPERS if self.parties[source].keeps else words.ASKED
+        may: tuple[type, ...] = messages.KEEPERS if self.parties[source].keeps else messages.ASKED
         if not party.keeps:
-            may = words.TOLD
+            may = messages.TOLD
         if not isinstance(frame.body, may) or frame.source != source:
-            raise words.Refused("not its to say", f"{frame.source}: {type(frame.body).__name__}")
+            raise messages.Refused("not its to say", f"{frame.source}: {type(frame.body).__name__}")
 
     def hung_up(self, keeper: str, client: str, connection: int) -> bool:
         """Whether the end of this connection is that of the one which stands there."""
--- a/brookreach/drills/gangs_files.py
+++ b/brookreach/simulation/gang_scheduling/file_invariants.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from brookreach.drills.pieces_processes import Town
+from brookreach.simulation.processes.application_drill import Town
 
 Member = tuple[str, int]
 LATE_MS = 1000.0  # how late a process may look at its clock on a busy machine
--- a/brookreach/drills/gangs_truth.py
+++ b/brookreach/simulation/gang_scheduling/ground_truth.py
@@ -10,9 +10,9 @@
 
 from msgspec.structs import replace
 
-from brookreach.fleet.piece import Context, Draft
-from brookreach.gangs.rows import GangRow
-from brookreach.outages.rows import PERMITS, PermitRow
+from brookreach.coordination.state_machine.application import Context, Draft
+from brookreach.disruption.tables import PERMITS, PermitRow
+from brookreach.gang_scheduling.tables import GangRow
 
 DRIFT = 0.01  # between any two clocks, as a share
 
--- a/brookreach/drills/gangs_node.py
+++ b/brookreach/simulation/gang_scheduling/node_model.py
@@ -9,13 +9,13 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from brookreach.drills.gangs_truth import DRIFT, Life
-from brookreach.gangs.acts import Act, Slot
-from brookreach.gangs.agent import Agent
-from brookreach.gangs.errands import Errand
+from brookreach.gang_scheduling.agent.actions import Act, Slot
+from brookreach.gang_scheduling.agent.agent import Agent
+from brookreach.gang_scheduling.agent_tasks import Errand
+from brookreach.simulation.gang_scheduling.ground_truth import DRIFT, Life
 
 if TYPE_CHECKING:
-    from brookreach.drills.gangs_model import World
+    from brookreach.simulation.gang_scheduling.cluster_model import World
 
 
 class Inc:
--- a/brookreach/drills/mutation.py
+++ b/brookreach/simulation/mutation/drill.py
@@ -16,20 +16,16 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from brookreach.drills import toy
-from brookreach.drills.fleet import small
-from brookreach.drills.fleet_plants import MUTATION_PLANTS as PLANTS
-from brookreach.drills.mutate import Change, Records
-from brookreach.drills.mutate_frame import changes, moved
-from brookreach.drills.mutation_play import (
-    MOST,
-    MOST_S,
-    Play,
-)
-from brookreach.drills.mutation_report import DEFECT, Table, verdict
-from brookreach.drills.plant import planted
-from brookreach.drills.report import Report, Violation
-from brookreach.drills.wire import Frame, Sent
+from brookreach.simulation.coordination import sample_application
+from brookreach.simulation.coordination.defects import MUTATION_PLANTS as PLANTS
+from brookreach.simulation.coordination.drill import small
+from brookreach.simulation.defect import planted
+from brookreach.simulation.engine.transit import Frame, Sent
+from brookreach.simulation.mutation.frame_mutators import changes, moved
+from brookreach.simulation.mutation.mutators import Change, Records
+from brookreach.simulation.mutation.outcomes import DEFECT, Table, verdict
+from brookreach.simulation.mutation.playback import MOST, MOST_S, Play
+from brookreach.simulation.report import Report, Violation
 
 __all__ = ["PLANTS", "run"]
 
@@ -57,7 +53,7 @@
 
     def choose(self, play: Play) -> int:
         """At most so many of each kind of change of each kind of message, spread over the run by the seed."""
-        records, moves = Records((toy.PIECE,)), moved(self.frames, play.terms)
+        records, moves = Records((sample_application.PIECE,)), moved(self.frames, play.terms)
         found: dict[tuple[str, str], list[tuple[int, Change]]] = {}
         chance, per = random.Random(f"{self.seed} changes"), dict[str, int]()
         for frame in chance.sample(self.frames, len(self.frames)):
--- a/brookreach/drills/mutate.py
+++ b/brookreach/simulation/mutation/mutators.py
@@ -15,11 +15,11 @@
 import msgspec
 from msgspec import inspect
 
-from brookreach.drills.wire import Sent
-from brookreach.fleet import words
-from brookreach.fleet.piece import Piece
-from brookreach.fleet.seams import Stamped
-from brookreach.fleet.sessions import ORDERS, PIECE
+from brookreach.coordination.ports import Stamped
+from brookreach.coordination.protocol import messages
+from brookreach.coordination.state_machine.application import Piece
+from brookreach.coordination.state_machine.sessions import ORDERS, PIECE
+from brookreach.simulation.engine.transit import Sent
 
 FAMILIES = (
     "neighbour",
@@ -74,11 +74,11 @@
     def within(self, holder: Any, field: str) -> Any:
         """The type of what the octets of this field hold, if it is known."""
         match holder, field:
-            case words.Entry(), "octets":
+            case messages.Entry(), "octets":
                 return Stamped
-            case ((Stamped() | words.Ask()), "body"):
+            case ((Stamped() | messages.Ask()), "body"):
                 return self.orders.get(holder.piece)
-            case words.Change(), "octets":
+            case messages.Change(), "octets":
                 return self.rows.get(holder.table)
         return None
 
--- a/brookreach/drills/mutation_play.py
+++ b/brookreach/simulation/mutation/playback.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Callable, Sequence
 
-from brookreach.drills.faults import Fault
-from brookreach.drills.fleet import Case
-from brookreach.drills.wire import Frame, Sent
-from brookreach.fleet.seams import Timing
+from brookreach.coordination.ports import Timing
+from brookreach.simulation.coordination.drill import Case
+from brookreach.simulation.engine.faults import Fault
+from brookreach.simulation.engine.transit import Frame, Sent
 
 AFTER_MS, GOES_ON_MS, LOOK_MS = (
     1700.0,
--- a/brookreach/drills/pieces_processes.py
+++ b/brookreach/simulation/processes/application_drill.py
@@ -15,10 +15,10 @@
 
 import anyio
 
-from brookreach.drills.operators import GOES_ON_S, LOOK_S, TIMES
-from brookreach.drills.processes import FOUND_S, Child, Children, Group
-from brookreach.drills.relay import Relay, Way
-from brookreach.drills.report import Report, Violation
+from brookreach.simulation.processes.operators import GOES_ON_S, LOOK_S, TIMES
+from brookreach.simulation.processes.program import FOUND_S, Child, Children, Group
+from brookreach.simulation.processes.relay import Relay, Way
+from brookreach.simulation.report import Report, Violation
 
 KEEPERS = ("k1", "k2", "k3")
 TIMING = tuple(f"{name} = {getattr(TIMES, name)}" for name in ("beat_ms", "election_ms", "lease_ms"))
--- a/brookreach/drills/operators.py
+++ b/brookreach/simulation/processes/operators.py
@@ -12,14 +12,14 @@
 
 import anyio
 
-from brookreach.drills.processes import Group
-from brookreach.fleet import words
-from brookreach.fleet.asks import TooMany
-from brookreach.fleet.client import Client
-from brookreach.fleet.dial import Dial, now_ms
-from brookreach.fleet.events import Answered, Changed, Event, Unknown
-from brookreach.fleet.piece import Order, Row
-from brookreach.fleet.seams import Timing
+from brookreach.coordination.client.client import Client
+from brookreach.coordination.client.connection import Dial, now_ms
+from brookreach.coordination.client.events import Answered, Changed, Event, Unknown
+from brookreach.coordination.client.requests import TooMany
+from brookreach.coordination.ports import Timing
+from brookreach.coordination.protocol import messages
+from brookreach.coordination.state_machine.application import Order, Row
+from brookreach.simulation.processes.program import Group
 
 TIMES = Timing(beat_ms=100.0, election_ms=1000.0, lease_ms=3000.0)  # a keeper that waits for a core still leads
 LEASE_S, LOOK_S = TIMES.lease_ms / 1000.0, 0.01
@@ -44,7 +44,7 @@
         tables: Mapping[str, type[Row]],
         seed: int,
         changed: Callable[[Changed], None] | None = None,
-        kind: words.Kind = "operator",
+        kind: messages.Kind = "operator",
     ):
         ports = {target: ("127.0.0.1", port) for (source, target), port in group.relayed.items() if source == name}
         self.name, self.changed = name, changed
--- a/brookreach/drills/processes.py
+++ b/brookreach/simulation/processes/program.py
@@ -20,9 +20,9 @@
 
 import anyio
 
-from brookreach.drills.ports import NoPorts, Ports
-from brookreach.drills.relay import Port
-from brookreach.drills.report import NotReported, Report
+from brookreach.simulation.processes.ports import NoPorts, Ports
+from brookreach.simulation.processes.relay import Port
+from brookreach.simulation.report import NotReported, Report
 
 ENDS_S = 60.0  # after SIGTERM, on a machine that is busy with other work
 FOUND_S = 180.0  # for a command that founds a keeper: a second on an idle machine
--- a/brookreach/drills/relay.py
+++ b/brookreach/simulation/processes/relay.py
@@ -18,7 +18,7 @@
 import anyio.abc
 from anyio.abc import TaskStatus
 
-from brookreach.fleet.stream import HEAD, LOST, TooLong, frames
+from brookreach.coordination.protocol.stream import HEAD, LOST, TooLong, frames
 
 MOST_FRAME = 1 << 21  # past it no stream of ours goes on
 
--- a/brookreach/drills/scope_model.py
+++ b/brookreach/simulation/subsetting/fleet_model.py
@@ -11,12 +11,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from brookreach.drills.scope_check import Rules
-from brookreach.scope.effects import Answer, AskWhole, Drain, Effect, Load, Question
-from brookreach.scope.settings import Settings
-from brookreach.scope.settle import Settling
-from brookreach.scope.state import ScopeState
-from brookreach.scope.view import Marshal, Service, View, difference
+from brookreach.simulation.subsetting.invariants import Rules
+from brookreach.subsetting.effects import Answer, AskWhole, Drain, Effect, Load, Question
+from brookreach.subsetting.fleet_view import Marshal, Service, View, difference
+from brookreach.subsetting.handover import ScopeState
+from brookreach.subsetting.hold_down import Settling
+from brookreach.subsetting.settings import Settings
 
 LEASE_MS, RENEW_MS, GIVER_MS = 4_000, 1_000, 5_000  # the holder's end of a lease is before the giver's
 BEACON_MS, TICK_MS, LOOK_MS = 2_000, 250, 1_000
--- a/brookreach/drills/scope_check.py
+++ b/brookreach/simulation/subsetting/invariants.py
@@ -8,9 +8,9 @@
 
 from dataclasses import dataclass, field
 
-from brookreach.drills.report import Report, Violation
-from brookreach.scope.settings import Settings
-from brookreach.scope.view import Marshal, Service
+from brookreach.simulation.report import Report, Violation
+from brookreach.subsetting.fleet_view import Marshal, Service
+from brookreach.subsetting.settings import Settings
 
 HELD_WITHIN_MS = 9_000  # a new service is in force
 
--- a/brookreach/drills/verdict.py
+++ b/brookreach/simulation/verdict.py
@@ -17,11 +17,11 @@
 from brookreach import decide, judge
 from brookreach import interface as ifc
 from brookreach.decide import Marshal
-from brookreach.drills.plant import Plants, planted
-from brookreach.drills.report import Report, Violation
 from brookreach.model.case import CASES
 from brookreach.model.experiment import interval
 from brookreach.model.world import Wave
+from brookreach.simulation.defect import Plants, planted
+from brookreach.simulation.report import Report, Violation
 
 DRILLED = ("good", "good-busy-0.8", "good-crawler", "good-restarts", "all+20", "scheda+36", "work-2.5")
 NEVER_RAN = (ifc.Ending.FULL, ifc.Ending.NO_CONNECT, ifc.Ending.MOOT)
--- a/brookreach/drills/xds.py
+++ b/brookreach/simulation/xds.py
@@ -20,9 +20,9 @@
 from google.protobuf import any_pb2
 
 from brookreach import interface as ifc
-from brookreach.drills.plant import Plants, planted
-from brookreach.drills.report import Report, Violation
 from brookreach.model.case import CASES, start_of
+from brookreach.simulation.defect import Plants, planted
+from brookreach.simulation.report import Report, Violation
 from brookreach.xds import assign, messages, resources, stream
 from brookreach.xds.book import Book
 from brookreach.xds.messages import CDS, EDS, LDS, RDS, Answer, Ask, Refused
--- a/brookreach/scope/demand.py
+++ b/brookreach/subsetting/demand.py
@@ -4,8 +4,8 @@
 
 from typing import NamedTuple
 
-from brookreach.scope.settings import Caps, Settings
-from brookreach.scope.view import Service
+from brookreach.subsetting.fleet_view import Service
+from brookreach.subsetting.settings import Caps, Settings
 
 ROOM_UP, ROOM_DOWN = 5, 4  # a large service has room for 5/4 of its nodes' copies
 
--- a/brookreach/scope/subset.py
+++ b/brookreach/subsetting/endpoint_subset.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
-from brookreach.scope import rendezvous
-from brookreach.scope.demand import ROOM_DOWN, ROOM_UP, ceiling
-from brookreach.scope.settings import Subset
+from brookreach.subsetting import rendezvous
+from brookreach.subsetting.demand import ROOM_DOWN, ROOM_UP, ceiling
+from brookreach.subsetting.settings import Subset
 
 
 class Node(msgspec.Struct, frozen=True):
--- a/brookreach/scope/place.py
+++ b/brookreach/subsetting/full_placement.py
@@ -8,10 +8,10 @@
 
 from __future__ import annotations
 
-from brookreach.scope.placement import Placement
-from brookreach.scope.placer import Placer
-from brookreach.scope.settings import Settings
-from brookreach.scope.view import View
+from brookreach.subsetting.fleet_view import View
+from brookreach.subsetting.incremental_placement import Placer
+from brookreach.subsetting.placement import Placement
+from brookreach.subsetting.settings import Settings
 
 
 def place(view: View, settings: Settings) -> Placement:
--- a/brookreach/scope/state.py
+++ b/brookreach/subsetting/handover.py
@@ -15,10 +15,10 @@
 
 from dataclasses import dataclass, field
 
-from brookreach.scope.effects import Answer, AskWhole, Drain, Drop, Effect, Load, Question
-from brookreach.scope.placer import Placer
-from brookreach.scope.settings import Settings
-from brookreach.scope.view import View, ViewChange, changed, follows
+from brookreach.subsetting.effects import Answer, AskWhole, Drain, Drop, Effect, Load, Question
+from brookreach.subsetting.fleet_view import View, ViewChange, changed, follows
+from brookreach.subsetting.incremental_placement import Placer
+from brookreach.subsetting.settings import Settings
 
 
 @dataclass(slots=True)
--- a/brookreach/scope/settle.py
+++ b/brookreach/subsetting/hold_down.py
@@ -11,8 +11,8 @@
 
 from dataclasses import dataclass
 
-from brookreach.scope.settings import Times
-from brookreach.scope.view import Marshal, Service, View, view_of
+from brookreach.subsetting.fleet_view import Marshal, Service, View, view_of
+from brookreach.subsetting.settings import Times
 
 
 @dataclass(slots=True)
--- a/brookreach/scope/placer.py
+++ b/brookreach/subsetting/incremental_placement.py
@@ -10,9 +10,11 @@
 
 import heapq
 
-from brookreach.scope import demand, rendezvous
-from brookreach.scope.demand import Load
-from brookreach.scope.entries import (
+from brookreach.subsetting import demand, rendezvous
+from brookreach.subsetting.demand import Load
+from brookreach.subsetting.fleet_view import Marshal, Service, View
+from brookreach.subsetting.placement import Placement, Short
+from brookreach.subsetting.placement_entries import (
     ALL,
     NONE,
     MarshalEntry,
@@ -23,10 +25,8 @@
     service_entry,
     total,
 )
-from brookreach.scope.placement import Placement, Short
-from brookreach.scope.settings import Settings
-from brookreach.scope.view import Marshal, Service, View
-from brookreach.scope.zones import Zone, quotas, zone_order
+from brookreach.subsetting.settings import Settings
+from brookreach.subsetting.zone_counts import Zone, quotas, zone_order
 
 
 class Placer:
--- a/brookreach/scope/entries.py
+++ b/brookreach/subsetting/placement_entries.py
@@ -5,11 +5,11 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from brookreach.scope import demand, rendezvous
-from brookreach.scope.demand import Load
-from brookreach.scope.settings import Settings
-from brookreach.scope.view import Marshal, Service
-from brookreach.scope.zones import Zone
+from brookreach.subsetting import demand, rendezvous
+from brookreach.subsetting.demand import Load
+from brookreach.subsetting.fleet_view import Marshal, Service
+from brookreach.subsetting.settings import Settings
+from brookreach.subsetting.zone_counts import Zone
 
 Order = tuple[int, str]
 """Where a service stands among all: hash of its name, name."""
--- a/brookreach/scope/zones.py
+++ b/brookreach/subsetting/zone_counts.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping, Sequence
 
-from brookreach.scope import rendezvous
+from brookreach.subsetting import rendezvous
 
 Zone = tuple[str, str]
 """Region and zone."""
--- a/tests/test_machine_lasting.py
+++ b/tests/coordination/test_machine_durability.py
@@ -5,13 +5,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from brookreach.fleet.machine import Machine
-from brookreach.fleet.piece import Order, Put
-from brookreach.fleet.seams import Timing
-from brookreach.fleet.sessions import Began, Leases
-from brookreach.fleet.snapshots import Halted
-
-from .machine_rig import Add, Lids, Log, Odd, PotRow, Pots, Take, play, steps
+from brookreach.coordination.ports import Timing
+from brookreach.coordination.state_machine.application import Order, Put
+from brookreach.coordination.state_machine.machine import Machine
+from brookreach.coordination.state_machine.sessions import Began, Leases
+from brookreach.coordination.state_machine.snapshots import Halted
+from tests.coordination.machine_harness import Add, Lids, Log, Odd, PotRow, Pots, Take, play, steps
 
 
 class Add2(Order, tag="Add"):
--- a/tests/test_store.py
+++ b/tests/coordination/test_store.py
@@ -6,9 +6,9 @@
 import unittest
 from pathlib import Path
 
-from brookreach.fleet.seams import DiskError, Kept, Save
-from brookreach.fleet.store import MemoryDisk, Store
-from brookreach.fleet.words import Entry
+from brookreach.coordination.ports import DiskError, Kept, Save
+from brookreach.coordination.protocol.messages import Entry
+from brookreach.coordination.storage.store import MemoryDisk, Store
 
 SEATS = ("a", "b", "c")
 
