--- a/tests/test_fleet_processes.py
+++ b/tests/disruption/test_processes.py
@@ -10,7 +10,7 @@
 
 import anyio
 
-from .fleet_town import GRACE_S, KEEPERS, Town, TownCase
+from tests.disruption.processes import GRACE_S, KEEPERS, Town, TownCase
 
 
 class ProcessesTest(TownCase):
--- a/tests/gangs_rig.py
+++ b/tests/gang_scheduling/harness.py
@@ -6,14 +6,14 @@
 
 from msgspec.structs import replace
 
-from brookreach.drills.gangs_truth import Budget
-from brookreach.drills.ordered import Ordered
-from brookreach.fleet.piece import Context, Put
-from brookreach.gangs.errands import errands
-from brookreach.gangs.orders import Confirmed, Here, Noticed, Started, Stopped, Submit
-from brookreach.gangs.piece import Gangs
-from brookreach.gangs.rows import GANGS, MEMBERS, PLACES, ROOMS, GangRow, MemberRow
-from brookreach.outages.rows import NODES, NodeRow
+from brookreach.coordination.state_machine.application import Context, Put
+from brookreach.disruption.tables import NODES, NodeRow
+from brookreach.gang_scheduling.agent_tasks import errands
+from brookreach.gang_scheduling.application import Gangs
+from brookreach.gang_scheduling.commands import Confirmed, Here, Noticed, Started, Stopped, Submit
+from brookreach.gang_scheduling.tables import GANGS, MEMBERS, PLACES, ROOMS, GangRow, MemberRow
+from brookreach.simulation.engine.ordered_tables import Ordered
+from brookreach.simulation.gang_scheduling.ground_truth import Budget
 
 T = 1_700_000_000_000
 MINUTE, HOUR = 60_000, 3_600_000
--- a/tests/test_gang_agent.py
+++ b/tests/gang_scheduling/test_agent.py
@@ -4,10 +4,10 @@
 
 import unittest
 
-from brookreach.gangs.acts import Act, Slot
-from brookreach.gangs.agent import Agent
-from brookreach.gangs.errands import Errand, Kind
-from brookreach.gangs.orders import Confirmed, Failed, Orders, Started, Stopped
+from brookreach.gang_scheduling.agent.actions import Act, Slot
+from brookreach.gang_scheduling.agent.agent import Agent
+from brookreach.gang_scheduling.agent_tasks import Errand, Kind
+from brookreach.gang_scheduling.commands import Confirmed, Failed, Orders, Started, Stopped
 
 SLOT: Slot = ("g", 0)
 
--- a/tests/test_gangs_move.py
+++ b/tests/gang_scheduling/test_migration.py
@@ -4,13 +4,13 @@
 
 import unittest
 
-from brookreach.fleet.piece import Refusal
-from brookreach.gangs import seats
-from brookreach.gangs.errands import errands
-from brookreach.gangs.orders import Started
-from brookreach.gangs.rows import HANDS
-from brookreach.outages.rows import PERMITS
-from tests.gangs_rig import HOUR, MINUTE, Rig, T
+from brookreach.coordination.state_machine.application import Refusal
+from brookreach.disruption.tables import PERMITS
+from brookreach.gang_scheduling import members as seats
+from brookreach.gang_scheduling.agent_tasks import errands
+from brookreach.gang_scheduling.commands import Started
+from brookreach.gang_scheduling.tables import HANDS
+from tests.gang_scheduling.harness import HOUR, MINUTE, Rig, T
 
 SPARE = "n2"  # of three nodes with room for one each, where nothing is placed at first
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,6 +1,6 @@
 """What tests share, under one name: the small world of the module and the town of the network side."""
 
-from brookreach.drills.stand import into
+from brookreach.simulation.stand_ins import into
 
 from .town import NEWS, REPLIES, SETTINGS, US, Heard, Town, played, until
 from .world import IDEM, KEPT, ONCE, READS, TOKEN, TraceCase, World, line, method, node, start
--- a/tests/mutation_rig.py
+++ b/tests/mutation_rig.py
@@ -12,8 +12,8 @@
 import anyio
 import anyio.lowlevel
 
-from brookreach.drills.stand import GONE
 from brookreach.net.stream import address
+from brookreach.simulation.stand_ins import GONE
 
 from .mutants import FIN, RESET
 
--- a/tests/mutation_services.py
+++ b/tests/mutation_services.py
@@ -9,12 +9,12 @@
 import anyio
 
 from brookreach import interface as ifc
-from brookreach.drills.stand import GONE, request
 from brookreach.net import pgwire
 from brookreach.net.backoff import Backoff
 from brookreach.net.discovery import STATES
 from brookreach.net.platform import PHASES
 from brookreach.net.stream import address
+from brookreach.simulation.stand_ins import GONE, request
 
 from .helpers import NEWS, Town
 from .mutants import CHUNKED, SILENCE, Mutant, chunk, http
--- a/tests/peers_nodes.py
+++ b/tests/peers_nodes.py
@@ -10,7 +10,6 @@
 from dataclasses import replace
 
 from brookreach import interface as ifc
-from brookreach.drills.stand import ROW, WORDS
 from brookreach.net import pgwire
 from brookreach.net.driver import Clock, Driver
 from brookreach.net.limits import limits_from
@@ -18,6 +17,7 @@
 from brookreach.net.nodes import Nodes
 from brookreach.net.statement import statement
 from brookreach.net.stream import Poller
+from brookreach.simulation.stand_ins import ROW, WORDS
 
 from .helpers import SETTINGS, Heard, start
 
--- a/tests/process_rig.py
+++ b/tests/process_rig.py
@@ -12,8 +12,8 @@
 
 import anyio
 
-from brookreach.drills.stand import NodeStand, into
 from brookreach.net import pgwire
+from brookreach.simulation.stand_ins import NodeStand, into
 
 from .helpers import NEWS, SETTINGS
 from .peers_http import GONE, Peer, listing
--- a/tests/scope_rig.py
+++ b/tests/subsetting/harness.py
@@ -4,8 +4,8 @@
 
 from hypothesis import strategies as st
 
-from brookreach.scope.settings import Caps, Settings, Spread
-from brookreach.scope.view import Marshal, Service, view_of
+from brookreach.subsetting.fleet_view import Marshal, Service, view_of
+from brookreach.subsetting.settings import Caps, Settings, Spread
 
 ROOMY = Settings()
 TIGHT = Settings(caps=Caps(services=3, nodes=80, routes=12, tenants=200, rpcs=60), spread=Spread(marshals=4))
--- a/tests/test_scope_churn.py
+++ b/tests/subsetting/test_churn.py
@@ -2,12 +2,12 @@
 
 import unittest
 
-from brookreach.scope import rendezvous
-from brookreach.scope.place import place
-from brookreach.scope.placer import Placer
-from brookreach.scope.settings import Caps, Settings
-from brookreach.scope.view import Marshal, Service, view_of
-from tests.scope_rig import NO_CAPS, fleet, many_services, moved
+from brookreach.subsetting import rendezvous
+from brookreach.subsetting.fleet_view import Marshal, Service, view_of
+from brookreach.subsetting.full_placement import place
+from brookreach.subsetting.incremental_placement import Placer
+from brookreach.subsetting.settings import Caps, Settings
+from tests.subsetting.harness import NO_CAPS, fleet, many_services, moved
 
 
 class ChurnTest(unittest.TestCase):
--- a/tests/test_scope_subset.py
+++ b/tests/subsetting/test_endpoint_subset.py
@@ -5,10 +5,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from brookreach.scope import demand
-from brookreach.scope.settings import Settings, Subset
-from brookreach.scope.subset import Node, subsets
-from brookreach.scope.view import Service
+from brookreach.subsetting import demand
+from brookreach.subsetting.endpoint_subset import Node, subsets
+from brookreach.subsetting.fleet_view import Service
+from brookreach.subsetting.settings import Settings, Subset
 
 SMALL = Subset(nodes=20, holders=3, most_holders=6, zone_nodes=2)
 
--- a/tests/test_scope_state.py
+++ b/tests/subsetting/test_handover.py
@@ -3,12 +3,12 @@
 import functools
 import unittest
 
-from brookreach.scope import demand
-from brookreach.scope.effects import Answer, AskWhole, Drain, Drop, Load, Question
-from brookreach.scope.place import place
-from brookreach.scope.settings import Caps, Settings
-from brookreach.scope.state import ScopeState
-from brookreach.scope.view import Marshal, Service, changed, difference, view_of
+from brookreach.subsetting import demand
+from brookreach.subsetting.effects import Answer, AskWhole, Drain, Drop, Load, Question
+from brookreach.subsetting.fleet_view import Marshal, Service, changed, difference, view_of
+from brookreach.subsetting.full_placement import place
+from brookreach.subsetting.handover import ScopeState
+from brookreach.subsetting.settings import Caps, Settings
 
 SETTINGS = Settings()
 SERVICE = Service("s", 4)
--- a/tests/test_scope_settle.py
+++ b/tests/subsetting/test_hold_down.py
@@ -2,10 +2,10 @@
 
 import unittest
 
-from brookreach.scope.place import place
-from brookreach.scope.settings import Settings, Times
-from brookreach.scope.settle import Settling
-from brookreach.scope.view import Marshal, Service
+from brookreach.subsetting.fleet_view import Marshal, Service
+from brookreach.subsetting.full_placement import place
+from brookreach.subsetting.hold_down import Settling
+from brookreach.subsetting.settings import Settings, Times
 
 SETTINGS = Settings()
 SERVICE = Service("s", 4)
--- a/tests/test_scope_orders.py
+++ b/tests/subsetting/test_orders.py
@@ -3,12 +3,12 @@
 import random
 import unittest
 
-from brookreach.drills.plant import planted
-from brookreach.scope import state as scope_state
-from brookreach.scope.effects import Answer, AskWhole, Drain, Load, Question
-from brookreach.scope.settings import Settings, Times
-from brookreach.scope.state import ScopeState
-from brookreach.scope.view import Marshal, Service, difference, view_of
+from brookreach.simulation.defect import planted
+from brookreach.subsetting import handover as scope_state
+from brookreach.subsetting.effects import Answer, AskWhole, Drain, Load, Question
+from brookreach.subsetting.fleet_view import Marshal, Service, difference, view_of
+from brookreach.subsetting.handover import ScopeState
+from brookreach.subsetting.settings import Settings, Times
 
 SETTINGS = Settings(times=Times(ask_ms=40))
 LEAST, NAMES, STEPS = 6, [f"m{at}" for at in range(9)], 1500
--- a/tests/test_scope_settings.py
+++ b/tests/subsetting/test_settings.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from brookreach.files import BadFile
-from brookreach.scope.settings import Settings, read_settings
+from brookreach.subsetting.settings import Settings, read_settings
 
 
 class SettingsTest(unittest.TestCase):
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -7,8 +7,8 @@
 import unittest
 
 from brookreach.capacity import arithmetic, measure, model, read, samples, table
+from brookreach.disruption.tables import MARSHALS, NODES, PERMITS
 from brookreach.files import read_toml
-from brookreach.outages.rows import MARSHALS, NODES, PERMITS
 from tests.capacity_rig import FILE, ROOT, SMALL, command, small
 
 PAGE = ROOT / "docs" / "CAPACITY.md"
--- a/tests/test_endings_nodes.py
+++ b/tests/test_endings_nodes.py
@@ -5,8 +5,8 @@
 from contextlib import closing
 
 from brookreach import interface as ifc
-from brookreach.drills.stand import ROW
 from brookreach.net import pgwire
+from brookreach.simulation.stand_ins import ROW
 
 from .helpers import ONCE, method
 from .peers_nodes import FAILED, FULL, INSERTED, SELECTED, Peer, Rig, Whole
--- a/tests/test_endings_picks.py
+++ b/tests/test_endings_picks.py
@@ -7,8 +7,8 @@
 from dataclasses import replace
 
 from brookreach import interface as ifc
-from brookreach.drills.stand import ROW
 from brookreach.net import pgwire
+from brookreach.simulation.stand_ins import ROW
 
 from .helpers import ONCE, TOKEN, method
 from .peers_nodes import FULL, INSERTED, SELECTED, Rig, Whole, row
--- a/tests/test_measured_keepers.py
+++ b/tests/test_measured_keepers.py
@@ -4,13 +4,13 @@
 import unittest
 from unittest import mock
 
-from brookreach.fleet.seams import Timing
-from brookreach.fleet.seek import Seek
-from brookreach.fleet.tables import Tables
+from brookreach.coordination.client.leader_discovery import Seek
+from brookreach.coordination.ports import Timing
+from brookreach.coordination.state_machine.tables import Tables
+from brookreach.disruption.application import PIECE
 from brookreach.model import keepers_load, keepers_sizes, keepers_times
 from brookreach.model.keepers_crowd import fleet
 from brookreach.model.keepers_wire import TURN, Uplink
-from brookreach.outages.piece import PIECE
 
 
 class Times(unittest.TestCase):
--- a/tests/test_xds_commands.py
+++ b/tests/test_xds_commands.py
@@ -7,7 +7,7 @@
 import unittest
 from pathlib import Path
 
-from brookreach.drills import xds as drill
+from brookreach.simulation import xds as drill
 from brookreach.tls import pair
 from brookreach.xds import config
 from tests.xds_rig import certificate, pem
