--- /dev/null
+++ b/tests/compatibility/text_under_test.py
@@ -0,0 +1,98 @@
+"""The only module of these tests that imports from brookreach: the present text, by roles and not by its names."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import Any, get_args
+
+import msgspec
+
+from brookreach import together
+from brookreach.cli import files as configuration_files
+from brookreach.fleet import seal, seams, sessions, snapshots, store, words
+from brookreach.fleet.client import Client as GroupClient
+from brookreach.fleet.keeper import Keeper as Replica
+from brookreach.fleet.machine import Machine as StateMachine
+from brookreach.verdict import notes as wave_records
+
+__all__ = ["GroupClient", "Replica", "StateMachine", "configuration_files", "wave_records"]
+
+Store, MemoryStore = store.Store, store.MemoryDisk
+Entry, Save, Stored, Timing = words.Entry, seams.Save, seams.Kept, seams.Timing
+StoreError, StateError, FrameError = seams.DiskError, snapshots.Halted, words.Refused
+Question, Stamp = words.Ask, seams.Stamped
+NoWork = seams.Ready
+SESSION_APPLICATION, SESSION_VERSION = sessions.PIECE, sessions.VERSION
+CONTROL_MESSAGES, CLIENT_MESSAGES, SERVER_MESSAGES = words.KEEPERS, words.ASKED, words.TOLD
+FRAME_ERROR_NAMES, MOST_FRAME = words.REASONS, words.MOST_FRAME
+seal_frame, open_frame, Frame = seal.sealed, seal.opened, seal.Frame
+stamp_question = sessions.asked
+
+
+@dataclass(frozen=True)
+class Application:
+    """One application of the state machine: its name on the wire, its orders and the rows of its tables."""
+
+    name: str
+    version: int
+    orders: tuple[type, ...]
+    tables: Mapping[str, type]
+
+
+def installed() -> tuple[Any, ...]:
+    """The applications as a replica takes them."""
+    return together.pieces()
+
+
+def applications() -> dict[str, Application]:
+    """All applications by name, with the sessions' own."""
+    found = [Application(SESSION_APPLICATION, SESSION_VERSION, get_args(sessions.ORDERS), sessions.TABLES)]
+    found += [Application(one.name, one.version, get_args(one.orders), one.tables) for one in installed()]
+    return {one.name: one for one in found}
+
+
+def messages() -> dict[str, tuple[type, ...]]:
+    """The messages by who may send them."""
+    return {"control": CONTROL_MESSAGES, "client": CLIENT_MESSAGES, "server": SERVER_MESSAGES}
+
+
+def tag(type_: type) -> str:
+    """The string by which a message or order is known on the wire."""
+    return str(msgspec.inspect.type_info(type_).tag)
+
+
+def rows(machine: StateMachine) -> dict[str, dict[str, Any]]:
+    """All rows of a state machine as builtins, by table and key."""
+    view = machine.view
+    return {table: {key: plain(row) for key, row in view.rows(table)} for table in view.types}
+
+
+def plain(value: Any) -> Any:
+    """As it comes back from JSON: structs without names, tuples as lists, octets as hex."""
+    return msgspec.json.decode(msgspec.json.encode(_hexed(msgspec.to_builtins(value, builtin_types=(bytes,)))))
+
+
+def _hexed(value: Any) -> Any:
+    if isinstance(value, bytes):
+        return value.hex()
+    if isinstance(value, dict):
+        return {key: _hexed(one) for key, one in value.items()}
+    if isinstance(value, list | tuple):
+        return [_hexed(one) for one in value]
+    return value
+
+
+def read_state(stored: Stored) -> StateMachine:
+    """The state that a stored snapshot and the log after it give."""
+    machine = StateMachine(installed())
+    if stored.snapshot:
+        machine.restore(stored.snapshot)
+    for entry in stored.entries:
+        machine.apply(entry)
+    return machine
+
+
+def order_octets(order: Mapping[str, Any]) -> bytes:
+    """An order given by its tag and fields, as octets."""
+    return msgspec.msgpack.encode(dict(order))
