--- a/brookreach/applications.py
+++ b/brookreach/applications.py
@@ -7,15 +7,15 @@
 
 import importlib
 
-from brookreach.coordination.state_machine.application import Piece
+from brookreach.coordination.state_machine.application import Application
 
-PIECES = (
+APPLICATION_MODULES = (
     "brookreach.carbon_aware.application",
     "brookreach.disruption.application",
     "brookreach.gang_scheduling.application",
 )
 
 
-def pieces(names: tuple[str, ...] = PIECES) -> tuple[Piece, ...]:
-    """Each module's `PIECE`."""
-    return tuple(importlib.import_module(name).PIECE for name in names)
+def load_applications(names: tuple[str, ...] = APPLICATION_MODULES) -> tuple[Application, ...]:
+    """Each module's `APPLICATION`."""
+    return tuple(importlib.import_module(name).APPLICATION for name in names)
--- a/brookreach/capacity/measure_anew.py
+++ b/brookreach/capacity/measure_anew.py
@@ -8,11 +8,11 @@
 
 import click
 
-from brookreach.applications import pieces
+from brookreach.applications import load_applications
 from brookreach.coordination.ports import Timing
 from brookreach.coordination.protocol import messages
-from brookreach.coordination.state_machine.application import Draft
-from brookreach.coordination.state_machine.machine import Machine
+from brookreach.coordination.state_machine.application import StagedChanges
+from brookreach.coordination.state_machine.machine import StateMachine
 from brookreach.disruption import deadlines
 from brookreach.disruption.permits import KEEP_MS
 from brookreach.disruption.tables import PERMITS, PermitRow
@@ -21,24 +21,24 @@
 CLIENTS = 10
 MOST_MS = 60_000.0
 SETTLE_MS = 2_000.0
-KINDS: tuple[messages.Kind, ...] = ("marshal", "agent")
+KINDS: tuple[messages.ClientKind, ...] = ("marshal", "agent")
 
 
-def fleet_with_permits(nodes: int, permits: int) -> Machine:
+def fleet_with_permits(nodes: int, permits: int) -> StateMachine:
     """A state with so many nodes, and so many permits that are over and kept."""
     machine = fleet(nodes)
-    draft = Draft(machine.view)
+    draft = StagedChanges(machine.view)
     for number in range(permits):
         name, target = f"old{number}", f"n{number % nodes}"
         draft.put(PERMITS, name, PermitRow("drain", target, "op", 5, WALL, "ended", 1, WALL, WALL, 1, "work"))
         deadlines.at(draft, WALL + KEEP_MS + number, deadlines.FORGET, name)
-    machine.view.take(draft.puts())
-    fresh = Machine(pieces())
+    machine.view.take(draft.updates())
+    fresh = StateMachine(load_applications())
     fresh.restore(machine.snapshot())
     return fresh
 
 
-def bytes_anew(kind: messages.Kind, nodes: int, permits: int, clients: int = CLIENTS) -> float:
+def bytes_anew(kind: messages.ClientKind, nodes: int, permits: int, clients: int = CLIENTS) -> float:
     """To one of so many clients that come at once, until all hold what they watch."""
     machine = fleet_with_permits(nodes, permits)
     crowd = Crowd(nodes, 1, Timing(), 1.0)
--- a/brookreach/carbon_aware/reservations.py
+++ b/brookreach/carbon_aware/reservations.py
@@ -20,13 +20,13 @@
     load_key,
     reserved_key,
 )
-from brookreach.coordination.state_machine.application import Draft, Put, View
+from brookreach.coordination.state_machine.application import RowUpdate, StagedChanges, View
 
 Span = tuple[str, int, int]  # zone, first slot, slot after the last
 Sized = tuple[str, int, int, int]  # and the room
 
 
-def take(view: View, at_ms: int, who: str, room: int, spans: Iterable[Span], session: int = 0) -> list[Put]:
+def take(view: View, at_ms: int, who: str, room: int, spans: Iterable[Span], session: int = 0) -> list[RowUpdate]:
     """All that `who` has reserved, replaced by this. Session 0: until its slots pass or it is released."""
     sized = tuple((zone, first, end, room) for zone, first, end in spans)
     held: HoldRow | None = view.get(HOLDS, who)
@@ -42,16 +42,16 @@
     return replace(view, at_ms, who, sized, session, calls=False)
 
 
-def release(view: View, who: str) -> list[Put]:
+def release(view: View, who: str) -> list[RowUpdate]:
     """Nothing more is reserved for `who`."""
-    draft = Draft(view)
+    draft = StagedChanges(view)
     _remove(draft, who)
-    return draft.puts()
+    return draft.updates()
 
 
-def replace(view: View, at_ms: int, who: str, spans: Iterable[Sized], session: int, calls: bool) -> list[Put]:
+def replace(view: View, at_ms: int, who: str, spans: Iterable[Sized], session: int, calls: bool) -> list[RowUpdate]:
     """`who` holds exactly these, none of them before the slot of `at_ms`."""
-    draft, now = Draft(view), at_ms // SLOT_MS
+    draft, now = StagedChanges(view), at_ms // SLOT_MS
     _remove(draft, who)
     kept = from_slot(spans, now)
     if kept:
@@ -62,7 +62,7 @@
                 row = ReservedRow(room, session, cost // SLOT_MS)
                 draft.put(RESERVED, reserved_key(zone, first + nth, who), row)
                 _add(draft, zone, first + nth, room, calls)
-    return [one for one in draft.puts() if view.get(one.table, one.key) != one.row]
+    return [one for one in draft.updates() if view.get(one.table, one.key) != one.row]
 
 
 def from_slot(spans: Iterable[Sized], slot: int) -> tuple[Sized, ...]:
@@ -70,9 +70,9 @@
     return tuple((zone, max(first, slot), end, room) for zone, first, end, room in spans if end > slot)
 
 
-def passed(view: View, slot: int) -> list[Put]:
+def passed(view: View, slot: int) -> list[RowUpdate]:
     """Slots before this one are over, and with them the holds that end there."""
-    draft, done = Draft(view), []
+    draft, done = StagedChanges(view), []
     for key, _ in view.rows(LOADS):
         at, _, zone = key.partition("/")
         if int(at) >= slot:
@@ -85,7 +85,7 @@
         held: HoldRow | None = view.get(HOLDS, who)
         if held is not None and not from_slot(held.spans, slot):
             draft.put(HOLDS, who, None)
-    return draft.puts()
+    return draft.updates()
 
 
 def first_slot(view: View) -> int | None:
@@ -120,7 +120,7 @@
     return sum(room for at, first, end, room in held.spans if at == zone and first <= slot < end)
 
 
-def _remove(draft: Draft, who: str) -> None:
+def _remove(draft: StagedChanges, who: str) -> None:
     held: HoldRow | None = draft.get(HOLDS, who)
     if held is None:
         return
@@ -132,7 +132,7 @@
                 _add(draft, zone, slot, -room, held.calls)
 
 
-def _add(draft: Draft, zone: str, slot: int, room: int, calls: bool) -> None:
+def _add(draft: StagedChanges, zone: str, slot: int, room: int, calls: bool) -> None:
     row: LoadRow = draft.get(LOADS, load_key(slot, zone)) or LoadRow()
     more = LoadRow(row.room, row.calls + room) if calls else LoadRow(row.room + room, row.calls)
     draft.put(LOADS, load_key(slot, zone), more if more != LoadRow() else None)
--- a/brookreach/cli/files.py
+++ b/brookreach/cli/files.py
@@ -180,7 +180,7 @@
         if "group" in values:
             from brookreach.coordination import configuration as group
 
-            return "a group of keepers", msgspec.to_builtins(group.fleet(file, values))
+            return "a group of keepers", msgspec.to_builtins(group.read_values(file, values))
         if "gang" in values:
             from brookreach.gang_scheduling import gang_file as gangs
 
--- a/brookreach/cli/fleet.py
+++ b/brookreach/cli/fleet.py
@@ -14,7 +14,7 @@
 from brookreach.cli.talked import WAIT, File, asked, said, talked
 
 if TYPE_CHECKING:
-    from brookreach.coordination.client.one_shot import Talk
+    from brookreach.coordination.client.one_shot import OneShotClient
 
 
 @click.group()
@@ -43,12 +43,12 @@
 @click.option("--log", type=click.Choice(["plain", "json"]), default="plain", show_default=True)
 def keep(file: Path, keeper: str, log: str) -> None:
     """Run one keeper until SIGTERM."""
-    from brookreach.applications import pieces
+    from brookreach.applications import load_applications
     from brookreach.cli.structured import writer
     from brookreach.coordination.server.process import keep as run
     from brookreach.net.report import Report
 
-    sys.exit(run(file, keeper, pieces(), Report(keeper, 20, writer(log, keeper)).say))
+    sys.exit(run(file, keeper, load_applications(), Report(keeper, 20, writer(log, keeper)).say))
 
 
 @fleet.command()
@@ -130,7 +130,7 @@
     """Print what is agreed."""
     import msgspec
 
-    async def look(one: Talk) -> dict[str, Any]:
+    async def look(one: OneShotClient) -> dict[str, Any]:
         view = await one.view()
         tables = {
             name: {key: msgspec.structs.asdict(row) for key, row in view.rows(name)}
@@ -164,7 +164,7 @@
 @WAIT
 def seats(file: Path, way: str, keeper: str, wait: float) -> None:
     """Give the KEEPER a seat, or take it away. One at a time; each must have come along before the next."""
-    from brookreach.coordination.server.proposals import MoveSeat
+    from brookreach.coordination.server.proposals import ChangeMembership
     from brookreach.coordination.state_machine.sessions import SEATS
 
-    asked(file, wait, SEATS, MoveSeat(way, keeper))  # type: ignore[arg-type]  # one of the choices
+    asked(file, wait, SEATS, ChangeMembership(way, keeper))  # type: ignore[arg-type]  # one of the choices
--- a/brookreach/cli/fleet_ask.py
+++ b/brookreach/cli/fleet_ask.py
@@ -14,7 +14,7 @@
 from brookreach.cli.talked import REASON, WAIT, File, asked, said
 
 if TYPE_CHECKING:
-    from brookreach.coordination.state_machine.application import Order, View
+    from brookreach.coordination.state_machine.application import Command, View
 
 URGENCY = click.option("--urgency", type=click.IntRange(0, 9), default=5, show_default=True)
 NAME = click.option("--name", default="", help="The permit's name; else one is made up.")
@@ -29,7 +29,7 @@
     context.obj = partial(_outages, file, wait)
 
 
-def _outages(file: Path, wait: float, order: Order, then: Callable[[View], str] | None = None) -> None:
+def _outages(file: Path, wait: float, order: Command, then: Callable[[View], str] | None = None) -> None:
     asked(file, wait, "outages", order, then)
 
 
--- a/brookreach/cli/fleet_ask_work.py
+++ b/brookreach/cli/fleet_ask_work.py
@@ -16,7 +16,7 @@
 from brookreach.cli.talked import REASON, File, answers, asked, said
 
 if TYPE_CHECKING:
-    from brookreach.coordination.state_machine.application import Order, View
+    from brookreach.coordination.state_machine.application import Command, View
 
 
 def _group(context: click.Context) -> tuple[Path, float]:
@@ -119,7 +119,7 @@
     from brookreach.carbon_aware.schedule_file import instant
     from brookreach.disruption.commands import RetirementNotice, RetirementWithdrawn
 
-    order: Order = RetirementWithdrawn(node)
+    order: Command = RetirementWithdrawn(node)
     if at != "withdraw":
         try:
             order = RetirementNotice(node, instant(at))
--- a/brookreach/cli/scale_control.py
+++ b/brookreach/cli/scale_control.py
@@ -15,7 +15,7 @@
 MOST_MARSHALS, LEAST_NODES, MOST_NODES = 1_500, 50, 20_000
 MOST_MEMORY_MB = 8_192
 QUICK_TIMES = 12_000.0, 3_000.0  # lease and election, in ms: a busy machine must not end sessions
-ELECTIONS_A_LEASE = 3.0  # as `fleet.config` has it
+ELECTIONS_A_LEASE = 3.0  # as `read_values.config` has it
 
 Run = TypeVar("Run")
 
@@ -55,11 +55,11 @@
 
 def gathered(runs: Iterator[Run]) -> tuple[list[Run], str]:
     """What a scale test gives, and why it ended before it was through; "" where it was not."""
-    from brookreach.coordination.client.one_shot import NotHeard
+    from brookreach.coordination.client.one_shot import ClusterUnreachableError
     from brookreach.scale.control_children import ChildFailed
     from brookreach.scale.control_cluster import NotSettled
 
-    known = (NotHeard, ChildFailed, NotSettled)
+    known = (ClusterUnreachableError, ChildFailed, NotSettled)
     found: list[Run] = []
     try:
         for one in runs:
--- a/brookreach/cli/talked.py
+++ b/brookreach/cli/talked.py
@@ -12,10 +12,12 @@
 
 import click
 
+from brookreach.coordination.protocol.tags import wire_name
+
 if TYPE_CHECKING:
-    from brookreach.coordination.client.events import Answered
-    from brookreach.coordination.client.one_shot import Talk
-    from brookreach.coordination.state_machine.application import Order, Row, View
+    from brookreach.coordination.client.events import ReplyReceived
+    from brookreach.coordination.client.one_shot import OneShotClient
+    from brookreach.coordination.state_machine.application import Command, Row, View
 
 File = click.Path(path_type=Path, dir_okay=False)
 WAIT = click.option(
@@ -26,11 +28,11 @@
 
 def said(call: Callable[[], Any]) -> Any:
     """What a command of the group does; its errors as one line and exit code 1."""
-    from brookreach.coordination.client.one_shot import NotHeard
-    from brookreach.coordination.ports import DiskError
+    from brookreach.coordination.client.one_shot import ClusterUnreachableError
+    from brookreach.coordination.ports import StorageError
     from brookreach.files import BadFile
 
-    words = (BadFile, DiskError, NotHeard)
+    words = (BadFile, StorageError, ClusterUnreachableError)
     try:
         return call()
     except words as error:
@@ -53,14 +55,14 @@
     return f"{re.sub(r'[^A-Za-z0-9._-]', '-', user)[:40]}-{secrets.token_hex(4)}"
 
 
-def talked(file: Path, wait_s: float, what: Callable[[Talk], Awaitable[Any]]) -> Any:
+def talked(file: Path, wait_s: float, what: Callable[[OneShotClient], Awaitable[Any]]) -> Any:
     """`what` in a session of its own, that watches all that operators look at."""
     import anyio
 
-    from brookreach.coordination.client.one_shot import talk
+    from brookreach.coordination.client.one_shot import one_shot_client
 
     async def whole() -> Any:
-        async with talk(file, operator(), "operator", tables(), wait_s) as one:
+        async with one_shot_client(file, operator(), "operator", tables(), wait_s) as one:
             return await what(one)
 
     return said(partial(anyio.run, whole))
@@ -68,13 +70,13 @@
 
 def tables() -> dict[str, type[Row]]:
     """What operators look at. Not a schedule's rows, which are many and stand in its file."""
-    from brookreach.applications import pieces
+    from brookreach.applications import load_applications
     from brookreach.carbon_aware.tables import CURRENT, OFFERS
     from brookreach.coordination.state_machine import sessions
     from brookreach.disruption.tables import ASSIGNED, BUDGETS, HALT, MARSHALS, NODES, PERMITS, RELEASES
     from brookreach.gang_scheduling.tables import GANGS, MEMBERS, ROOMS
 
-    known = {name: row for one in pieces() for name, row in one.tables.items()}
+    known = {name: row for one in load_applications() for name, row in one.tables.items()}
     known[sessions.SESSIONS] = sessions.TABLES[sessions.SESSIONS]
     names = (
         NODES,
@@ -94,7 +96,7 @@
     return {name: known[name] for name in names}
 
 
-def asked(file: Path, wait_s: float, piece: str, order: Order, then: Callable[[View], str] | None = None) -> None:
+def asked(file: Path, wait_s: float, piece: str, order: Command, then: Callable[[View], str] | None = None) -> None:
     """Prints the place and what stands there; a refusal in its words, and exit code 1."""
     answer, text = answers(file, wait_s, piece, [order], then)[0]
     if not answer.ok:
@@ -106,16 +108,16 @@
     file: Path,
     wait_s: float,
     piece: str,
-    orders: Sequence[Order],
+    orders: Sequence[Command],
     then: Callable[[View], str] | None = None,
     on: bool = False,
-) -> list[tuple[Answered, str]]:
+) -> list[tuple[ReplyReceived, str]]:
     """One after another in one session, each with what `then` says of it; to the first refusal, or `on`."""
     for order in orders:
         sayable(order)
 
-    async def each(one: Talk) -> list[tuple[Answered, str]]:
-        got: list[tuple[Answered, str]] = []
+    async def each(one: OneShotClient) -> list[tuple[ReplyReceived, str]]:
+        got: list[tuple[ReplyReceived, str]] = []
         for order in orders:
             answer = await one.ask(piece, order)
             last = len(got) == len(orders) - 1
@@ -126,15 +128,15 @@
                 break
         return got
 
-    told: list[tuple[Answered, str]] = talked(file, wait_s, each)
+    told: list[tuple[ReplyReceived, str]] = talked(file, wait_s, each)
     return told
 
 
-def sayable(order: Order) -> None:
+def sayable(order: Command) -> None:
     """Whether it can be said at all, by the bounds of its fields; else one line and exit code 1."""
     import msgspec
 
     try:
         msgspec.convert(msgspec.to_builtins(order), type(order))
     except msgspec.ValidationError as error:
-        raise click.ClickException(f"{type(order).__name__}: {error}") from None
+        raise click.ClickException(f"{wire_name(order)}: {error}") from None
--- a/brookreach/coordination/client/cache.py
+++ b/brookreach/coordination/client/cache.py
@@ -11,17 +11,17 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from brookreach.coordination.client.events import Changed, KeptOut
+from brookreach.coordination.client.events import RowsChanged, RowUnreadable
 from brookreach.coordination.protocol import messages
-from brookreach.coordination.state_machine.application import Put, Row
-from brookreach.coordination.state_machine.tables import SUM, Misfit, Tables, TooLarge, trace
+from brookreach.coordination.state_machine.application import Row, RowUpdate
+from brookreach.coordination.state_machine.tables import SUM, InvalidRowError, RowTooLargeError, Tables, trace
 
 MOST_STAGED = 1 << 20  # rows of a whole
 OLDER = 3  # wholes older than what is held, each in answer to a new Watch, until one is believed
 RECENT = 256  # messages that are known again if they come twice
 
 
-class NotTaken(Exception):
+class RejectedUpdateError(Exception):
     """A message that does not fit. `name` is counted; `anew`: it takes a new Watch to go on."""
 
     def __init__(self, name: str, anew: bool):
@@ -34,10 +34,10 @@
     index: int
     total: bytes | None
     parts: int = 0
-    rows: list[messages.Change] = field(default_factory=list)
+    rows: list[messages.RowChange] = field(default_factory=list)
 
 
-class Mirror:
+class TableCache:
     """A `piece.View`. `unread` names rows that this program can't read; they are missing in its tables."""
 
     def __init__(self, types: Mapping[str, type[Row]], watched: Collection[str]):
@@ -84,10 +84,10 @@
         self.at_ms = max(self.at_ms, at_ms)
         return not back
 
-    def changes(self, message: messages.Changes) -> list[Changed | KeptOut]:
+    def changes(self, message: messages.WatchUpdate) -> list[RowsChanged | RowUnreadable]:
         self._not_twice(message)
         if self._anew:
-            raise NotTaken("not what was asked", False)  # that is answered by the whole
+            raise RejectedUpdateError("not what was asked", False)  # that is answered by the whole
         rows = self._marked(message.rows, named=self.awaits)
         if message.since != self.index or message.index < message.since:
             raise self._misfit("gap")
@@ -98,7 +98,7 @@
         self._recent.append(hash(message))
         return told
 
-    def whole(self, message: messages.Whole) -> list[Changed | KeptOut]:
+    def whole(self, message: messages.WatchSnapshot) -> list[RowsChanged | RowUnreadable]:
         self._not_twice(message)
         staged = self._staged
         if message.nth:
@@ -120,19 +120,19 @@
             return []
         held = {(one.table, one.key) for one in staged.rows}
         gone = [
-            messages.Change(table, key, None)
+            messages.RowChange(table, key, None)
             for table in self.watched
             for key, _ in self.rows(table)
             if (table, key) not in held
         ]
-        gone += [messages.Change(*place, None) for place in self.unread if place not in held]
+        gone += [messages.RowChange(*place, None) for place in self.unread if place not in held]
         told = self._laid([*gone, *staged.rows], staged.total, staged.index, whole=True)
         self._staged, self._anew = None, False
         return told
 
-    def _not_twice(self, message: messages.Changes | messages.Whole) -> None:
+    def _not_twice(self, message: messages.WatchUpdate | messages.WatchSnapshot) -> None:
         if hash(message) in self._recent:
-            raise NotTaken("old news", False)
+            raise RejectedUpdateError("old news", False)
 
     def _young(self, index: int) -> None:
         """A whole that would take this back is one told before. Where one Watch after another is answered
@@ -143,49 +143,49 @@
                 raise self._misfit("older than held")
         self._older = 0
 
-    def _marked(self, rows: tuple[messages.Change, ...], named: bool) -> list[messages.Change]:
+    def _marked(self, rows: tuple[messages.RowChange, ...], named: bool) -> list[messages.RowChange]:
         """The rows without the marks before them (ring.py), which name all the tables where `named`."""
         count = next((nth for nth, one in enumerate(rows) if one.key), len(rows))
         names = tuple(one.table for one in rows[:count])
         if names != self.watched:
             if names == self.watched[:1] and named:
-                raise NotTaken("not what was asked", False)  # an earlier Watch is still being told
+                raise RejectedUpdateError("not what was asked", False)  # an earlier Watch is still being told
             if names != self.watched[:1]:
                 raise self._misfit("other tables")
         self._watched(rows[count:])
         return list(rows[count:])
 
-    def _watched(self, rows: Iterable[messages.Change]) -> None:
+    def _watched(self, rows: Iterable[messages.RowChange]) -> None:
         if any(one.table not in self._names or not one.key for one in rows):
             raise self._misfit("other tables")
 
-    def _misfit(self, name: str) -> NotTaken:
+    def _misfit(self, name: str) -> RejectedUpdateError:
         self._anew, self._staged = True, None
-        return NotTaken(name, True)
+        return RejectedUpdateError(name, True)
 
     def _laid(
-        self, rows: list[messages.Change], total: bytes | None, index: int, whole: bool
-    ) -> list[Changed | KeptOut]:
+        self, rows: list[messages.RowChange], total: bytes | None, index: int, whole: bool
+    ) -> list[RowsChanged | RowUnreadable]:
         """All of it, if then the sum is as told; else nothing has changed."""
         before = [self._tables.standing(one.table, one.key) for one in rows]
         unread, traces = dict(self.unread), dict(self._traces)
-        made, events = [], list[Changed | KeptOut]()
+        made, events = [], list[RowsChanged | RowUnreadable]()
         for one in rows:
             place = one.table, one.key
             self.unread.pop(place, None)
             self._traces.pop(place, None)
             try:
                 made.append(self._tables.read(one.table, one.key, one.octets))
-            except (Misfit, TooLarge) as error:  # what stood there is no longer so
+            except (InvalidRowError, RowTooLargeError) as error:  # what stood there is no longer so
                 self.unread[place], self._traces[place] = str(error), trace(one)
-                made.append((None, messages.Change(one.table, one.key, None)))
-                events.append(KeptOut(one.table, one.key, str(error)))
+                made.append((None, messages.RowChange(one.table, one.key, None)))
+                events.append(RowUnreadable(one.table, one.key, str(error)))
         moved = self._tables.lay(made)
         ours = sum(self._tables.sums.values()) + sum(self._traces.values())
         if (ours % (1 << 8 * SUM)).to_bytes(SUM, "big") != total:
             self._tables.lay(before)
             self.unread, self._traces = unread, traces
             raise self._misfit("other sum")
-        puts = tuple(Put(one.table, one.key, self.get(one.table, one.key)) for one in moved)
+        puts = tuple(RowUpdate(one.table, one.key, self.get(one.table, one.key)) for one in moved)
         self.index = index
-        return [*events, Changed(index, puts, whole)]
+        return [*events, RowsChanged(index, puts, whole)]
--- a/brookreach/coordination/client/client.py
+++ b/brookreach/coordination/client/client.py
@@ -12,16 +12,15 @@
 from collections.abc import Collection, Mapping, Sequence
 
 from brookreach.coordination.client import events
-from brookreach.coordination.client.cache import Mirror
-from brookreach.coordination.client.leader_discovery import Seek
+from brookreach.coordination.client.cache import TableCache
+from brookreach.coordination.client.leader_discovery import LeaderDiscovery
 from brookreach.coordination.client.lease import Lease
-from brookreach.coordination.client.requests import MOST_ASKS, Asks, Misnumbered
-from brookreach.coordination.client.session_holder import NotHeld as NotHeld
-from brookreach.coordination.client.session_holder import SessionHolder
+from brookreach.coordination.client.requests import MOST_ASKS, RequestOutOfOrderError, RequestQueue
+from brookreach.coordination.client.session_holder import SessionHolder, SessionNotHeldError
 from brookreach.coordination.client.watch import Watching
 from brookreach.coordination.ports import Timing
 from brookreach.coordination.protocol import messages
-from brookreach.coordination.state_machine.application import Order, Row
+from brookreach.coordination.state_machine.application import Command, Row
 
 
 class Client(SessionHolder):
@@ -30,7 +29,7 @@
     def __init__(
         self,
         name: str,
-        kind: messages.Kind,
+        kind: messages.ClientKind,
         keepers: Sequence[str],
         timing: Timing,
         chance: random.Random,
@@ -41,25 +40,25 @@
     ):
         super().__init__(name, Lease(timing, chance))
         self.kind, self.version = kind, version
-        self.mirror = Mirror(tables, tables if watched is None else watched)
+        self.mirror = TableCache(tables, tables if watched is None else watched)
         self.refusals: Counter[str] = Counter()
         self.keeper = ""  # whom it talks to; a connection to any other may be closed
         self.joined = False
         self._timing = timing
-        self._asks, self._seek = Asks(timing, chance, most_asks), Seek(keepers, timing, chance)
+        self._asks, self._seek = RequestQueue(timing, chance, most_asks), LeaderDiscovery(keepers, timing, chance)
         self._watching = Watching(self.mirror, timing, chance, self.refusals)
         self._answer_by: float | None = None  # to a Join or Renew, else another keeper is tried
         self._lost, self._left = 0, False  # the session that was lost last; left for good
         self._out: list[tuple[str, messages.Body]] = []
-        self._news: list[events.Event] = []
+        self._news: list[events.ClientEvent] = []
 
     # --- what its owner asks ---
 
-    def ask(self, now: float, piece: str, order: Order, version: int = 1) -> int:
-        """Its number, which an Answered or Unknown will bear; raises TooMany, and then nothing was taken."""
+    def ask(self, now: float, piece: str, order: Command, version: int = 1) -> int:
+        """Returns the number that its reply will bear. Raises TooManyRequestsError; then nothing was taken."""
         self._expire(now)
         if self._left:
-            raise NotHeld(f"{self.name} has left the group")
+            raise SessionNotHeldError(f"{self.name} has left the group")
         seq = self._asks.add(piece, version, order)
         self._fly(now)
         return seq
@@ -74,7 +73,7 @@
         out, self._out = self._out, []
         return out
 
-    def news(self) -> list[events.Event]:
+    def news(self) -> list[events.ClientEvent]:
         news, self._news = self._news, []
         return news
 
@@ -91,15 +90,15 @@
         self._expire(now)
         if not self.keeper or source != self.keeper:
             self.refusals["not asked"] += 1
-        elif isinstance(message, messages.Sorry):
+        elif isinstance(message, messages.RequestRejected):
             self._hear_sorry(now, message)
-        elif isinstance(message, messages.Joined) and not self.joined:
+        elif isinstance(message, messages.SessionOpened) and not self.joined:
             self._hear_joined(now, message)
-        elif isinstance(message, messages.Renewed) and self.joined:
+        elif isinstance(message, messages.KeepAliveReply) and self.joined:
             self._hear_renewed(message)
-        elif isinstance(message, messages.Done) and self.joined:
+        elif isinstance(message, messages.ProposeReply) and self.joined:
             self._hear_done(message)
-        elif isinstance(message, messages.Changes | messages.Whole) and self.joined:
+        elif isinstance(message, messages.WatchUpdate | messages.WatchSnapshot) and self.joined:
             self._news += self._watching.hear(now, message)
         else:
             self.refusals["not asked"] += 1
@@ -117,7 +116,7 @@
             self._move(now)
         if not self.keeper and not self._left and now >= self._seek.at_ms:
             self.keeper = self._seek.next()
-            self._say(messages.Join(self.name, self.kind, self.session, self.version))
+            self._say(messages.OpenSession(self.name, self.kind, self.session, self.version))
             self._answer_by = now + self._timing.lease_ms / 4
         self._fly(now)
 
@@ -137,7 +136,7 @@
 
     # --- its session ---
 
-    def _hear_joined(self, now: float, message: messages.Joined) -> None:
+    def _hear_joined(self, now: float, message: messages.SessionOpened) -> None:
         again = bool(self.session)
         fits = message.session == self.session if again else message.session not in (0, self._lost)
         if not fits or self._lease.absurd(message.lease_ms):
@@ -150,9 +149,9 @@
         self.joined, self._answer_by = True, None
         self._lease.joined(now)
         self._watching.begin(now)
-        self._news.append(events.Joined(self.session, self.keeper, again))
+        self._news.append(events.SessionEstablished(self.session, self.keeper, again))
 
-    def _hear_renewed(self, message: messages.Renewed) -> None:
+    def _hear_renewed(self, message: messages.KeepAliveReply) -> None:
         if not self._lease.flies(message.seq):
             self.refusals["unknown seq"] += 1
         elif self._lease.absurd(message.lease_ms):
@@ -161,7 +160,7 @@
             self._answer_by = None
             self._time(message.at_ms)
             self._seek.went_well()
-            self._news.append(events.Renewed(self.session, self._lease.renewed(message.lease_ms)))
+            self._news.append(events.LeaseRenewed(self.session, self._lease.renewed(message.lease_ms)))
 
     def _time(self, at_ms: int) -> None:
         if not self.mirror.told_ms(at_ms):
@@ -177,7 +176,7 @@
         if self.session:
             self._lost = self.session
             if self.keeper and not told:
-                self._say(messages.Leave(self.session))
+                self._say(messages.CloseSession(self.session))
             self._lease.ended()
             self._news.append(events.SessionLost(self._lost, why))
             self._news += self._asks.over(why)
@@ -188,13 +187,13 @@
         """Away from its keeper, for now or to the one that is named."""
         here, self.keeper, self.joined, self._answer_by = self.keeper, "", False, None
         self._lease.dropped()
-        self._out = [(to, body) for to, body in self._out if to != here or isinstance(body, messages.Leave)]
+        self._out = [(to, body) for to, body in self._out if to != here or isinstance(body, messages.CloseSession)]
         self._asks.dropped()
         self._seek.later(now, self._timing.lease_ms / (6 if self.session else 1), named, come_back_ms)
 
     # --- answers to what it asked ---
 
-    def _hear_done(self, message: messages.Done) -> None:
+    def _hear_done(self, message: messages.ProposeReply) -> None:
         if not self._asks.flies(message.seq):
             self.refusals["unknown seq"] += 1
         elif message.index <= self.session:  # an answer of an earlier session
@@ -203,7 +202,7 @@
             self._seek.went_well()
             self._news.append(self._asks.done(message))
 
-    def _hear_sorry(self, now: float, message: messages.Sorry) -> None:
+    def _hear_sorry(self, now: float, message: messages.RequestRejected) -> None:
         renews, asks = self._lease.flies(message.seq), self._asks.flies(message.seq)
         if message.seq and not renews and not asks:
             self.refusals["unknown seq"] += 1
@@ -227,18 +226,18 @@
         else:
             self._hear_turned_away(now, message)
 
-    def _hear_turned_away(self, now: float, message: messages.Sorry) -> None:
+    def _hear_turned_away(self, now: float, message: messages.RequestRejected) -> None:
         """About a Watch, where it has joined, else a Join."""
         if message.why != "busy":
-            self._news.append(events.TurnedAway(message.why, message.text))
+            self._news.append(events.ClientRejected(message.why, message.text))
         if self.joined:
             self._watching.sorry(now, message)
         else:
             self._move(now, "", int(self._timing.lease_ms))
 
-    def _hear_not_asked(self, now: float, message: messages.Sorry) -> None:
+    def _hear_not_asked(self, now: float, message: messages.RequestRejected) -> None:
         try:
             if (answered := self._asks.sorry(now, message)) is not None:
                 self._news.append(answered)
-        except Misnumbered as error:
+        except RequestOutOfOrderError as error:
             self._lose(now, str(error))
--- a/brookreach/coordination/client/connection.py
+++ b/brookreach/coordination/client/connection.py
@@ -16,7 +16,7 @@
 import anyio.abc
 
 from brookreach.coordination.client.client import Client
-from brookreach.coordination.client.events import Event
+from brookreach.coordination.client.events import ClientEvent
 from brookreach.coordination.protocol import frames as seal
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.protocol.stream import BOUNDS, LOST, Bounds, Inbox, Line, TooLong, frames
@@ -29,14 +29,14 @@
     return time.monotonic() * 1000.0
 
 
-class Call:
+class ReplicaConnection:
     """One connection to a keeper, from before it stands."""
 
     def __init__(self, keeper: str, line: Line):
         self.keeper, self.line, self.over = keeper, line, False
 
 
-class Dial:
+class ClientConnection:
     """`told` hears each event of the client."""
 
     def __init__(
@@ -45,13 +45,13 @@
         group: str,
         key: bytes,
         keepers: Mapping[str, tuple[str, int]],
-        told: Callable[[Event], object],
+        told: Callable[[ClientEvent], object],
         bounds: Bounds = BOUNDS,
     ):
         self.client, self.group, self.key, self.keepers = client, group, key, keepers
         self.told, self.bounds = told, bounds
         self.inbox = Inbox(bounds.inbox)
-        self.call: Call | None = None
+        self.call: ReplicaConnection | None = None
         self.refused: Counter[str] = Counter()
 
     def stir(self) -> None:
@@ -73,7 +73,7 @@
         call, out = self.call, self.client.out()
         for keeper, body in out:
             if call is not None and keeper == call.keeper:
-                call.line.put(seal.sealed(self.key, self.group, self.client.name, keeper, body))
+                call.line.put(seal.seal_frame(self.key, self.group, self.client.name, keeper, body))
         if call is not None:
             call.line.finish()
             with anyio.move_on_after(wait_s):
@@ -89,10 +89,10 @@
             client.lost(now_ms(), call.keeper)
         client.passed(now_ms())
         for keeper, body in client.out():
-            if isinstance(body, messages.Join):
+            if isinstance(body, messages.OpenSession):
                 self._dial(tasks, keeper)
             if self.call is not None and keeper == self.call.keeper:
-                self.call.line.put(seal.sealed(self.key, self.group, client.name, keeper, body))
+                self.call.line.put(seal.seal_frame(self.key, self.group, client.name, keeper, body))
         for event in client.news():
             self.told(event)
 
@@ -101,10 +101,10 @@
         if self.call is not None:
             self.call.line.finish()
         self.inbox.keepers.clear()
-        self.call = Call(keeper, Line(self.bounds.to_client, False, self.bounds.stalled_s))
+        self.call = ReplicaConnection(keeper, Line(self.bounds.to_client, False, self.bounds.stalled_s))
         tasks.start_soon(self._connect, self.call)
 
-    async def _connect(self, call: Call) -> None:
+    async def _connect(self, call: ReplicaConnection) -> None:
         try:
             with anyio.fail_after(self.bounds.dial_s):
                 stream = await anyio.connect_tcp(*self.keepers[call.keeper])
@@ -118,19 +118,19 @@
             call.over = True
             self.inbox.came.set()
 
-    async def _write(self, call: Call, stream: anyio.abc.ByteStream, scope: anyio.CancelScope) -> None:
+    async def _write(self, call: ReplicaConnection, stream: anyio.abc.ByteStream, scope: anyio.CancelScope) -> None:
         await call.line.write(stream)
         scope.cancel()
 
-    async def _read(self, call: Call, stream: anyio.abc.ByteStream) -> None:
+    async def _read(self, call: ReplicaConnection, stream: anyio.abc.ByteStream) -> None:
         """Until it ends, or says what no keeper can."""
         try:
-            async for octets in frames(stream, messages.MOST_FRAME):
+            async for octets in frames(stream, messages.MAX_FRAME_BYTES):
                 try:
-                    frame = seal.opened(self.key, self.group, self.client.name, octets, messages.TOLD)
+                    frame = seal.open_frame(self.key, self.group, self.client.name, octets, messages.SERVER_MESSAGES)
                     if frame.source != call.keeper:
-                        raise messages.Refused("not its to say", f"{frame.source} where {call.keeper} speaks")
-                except messages.Refused as error:
+                        raise messages.InvalidFrameError("not its to say", f"{frame.source} where {call.keeper} speaks")
+                except messages.InvalidFrameError as error:
                     self.refused[error.name] += 1
                     if error.name == "bad seal":
                         return
--- a/brookreach/coordination/client/events.py
+++ b/brookreach/coordination/client/events.py
@@ -4,11 +4,11 @@
 
 from dataclasses import dataclass
 
-from brookreach.coordination.state_machine.application import Put
+from brookreach.coordination.state_machine.application import RowUpdate
 
 
 @dataclass(frozen=True, slots=True)
-class Joined:
+class SessionEstablished:
     """A connection to the leader stands. `again`: with the session that was there before."""
 
     session: int
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Renewed:
+class LeaseRenewed:
     """The session's lease holds until then, by the client's own clock, unless it is renewed again."""
 
     session: int
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
+class ReplyReceived:
     """`ok` False: it changed nothing and never will. `index` is its place in the log; 0: it has none."""
 
     seq: int
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unknown:
+class OutcomeUnknown:
     """The question may have had its effect or may yet have it: look at the state before asking anew."""
 
     seq: int
@@ -51,17 +51,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Changed:
+class RowsChanged:
     """Rows of the mirror that are not as they were, and up to which place of the log it stands now."""
 
     index: int
-    puts: tuple[Put, ...]
+    updates: tuple[RowUpdate, ...]
     whole: bool
 
 
 @dataclass(frozen=True, slots=True)
-class KeptOut:
-    """A row that this program can't read, of a later version: the mirror is without it (`Mirror.unread`)."""
+class RowUnreadable:
+    """A row that this program can't read, of a later version: the mirror is without it (`TableCache.unread`)."""
 
     table: str
     key: str
@@ -69,11 +69,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TurnedAway:
+class ClientRejected:
     """The group won't have this client, or what it watches, as it is; it goes on trying, seldom."""
 
     why: str
     text: str
 
 
-Event = Joined | Renewed | SessionLost | Answered | Unknown | Changed | KeptOut | TurnedAway
+ClientEvent = (
+    SessionEstablished
+    | LeaseRenewed
+    | SessionLost
+    | ReplyReceived
+    | OutcomeUnknown
+    | RowsChanged
+    | RowUnreadable
+    | ClientRejected
+)
--- a/brookreach/coordination/client/leader_discovery.py
+++ b/brookreach/coordination/client/leader_discovery.py
@@ -32,7 +32,7 @@
         return min(float(told_ms), self._most_told) + self._chance.uniform(most / 2, most)
 
 
-class Seek:
+class LeaderDiscovery:
     def __init__(self, keepers: Sequence[str], timing: Timing, chance: random.Random):
         if not keepers:
             raise ValueError("no keepers are named; at least one is needed")
--- a/brookreach/coordination/client/lease.py
+++ b/brookreach/coordination/client/lease.py
@@ -52,12 +52,12 @@
     def wake_ms(self) -> float | None:
         return self._at
 
-    def fly(self, now: float) -> messages.Renew | None:
+    def fly(self, now: float) -> messages.KeepAlive | None:
         if self._at is None or now < self._at:
             return None
         self._last += 1
         self._out, self._at = now, None
-        return messages.Renew(self.session, self._last)
+        return messages.KeepAlive(self.session, self._last)
 
     def flies(self, seq: int) -> bool:
         return self._out is not None and seq == self._last
--- a/brookreach/coordination/client/requests.py
+++ b/brookreach/coordination/client/requests.py
@@ -13,11 +13,11 @@
 
 import msgspec
 
-from brookreach.coordination.client.events import Answered, Unknown
+from brookreach.coordination.client.events import OutcomeUnknown, ReplyReceived
 from brookreach.coordination.client.leader_discovery import Pauses
 from brookreach.coordination.ports import Timing
 from brookreach.coordination.protocol import messages
-from brookreach.coordination.state_machine.application import Order
+from brookreach.coordination.state_machine.application import Command
 from brookreach.coordination.state_machine.sessions import SPARE
 
 MOST_ASKS = 64
@@ -25,16 +25,16 @@
 _out = msgspec.msgpack.Encoder(order="deterministic")
 
 
-class TooMany(Exception):
+class TooManyRequestsError(Exception):
     """The queue is full: the group is slower than what is asked of it. Nothing was taken."""
 
 
-class Misnumbered(Exception):
+class RequestOutOfOrderError(Exception):
     """What the group took under a number can't be known any more: the session is to be left."""
 
 
 @dataclass(slots=True)
-class Waiting:
+class PendingRequest:
     seq: int  # as its asker knows it
     piece: str
     version: int
@@ -44,44 +44,44 @@
     refusals: int = 0
 
 
-class Asks:
+class RequestQueue:
     def __init__(self, timing: Timing, chance: random.Random, most: int = MOST_ASKS):
         self._most, self._again, self._pauses = most, timing.lease_ms, Pauses(timing, chance)
-        self._queue: deque[Waiting] = deque()
+        self._queue: deque[PendingRequest] = deque()
         self._count = 0
         self._wire = 1  # the number of the first in the queue, in its session
         self._at: float | None = None  # when the first is sent again, or at last; None: at once
 
-    def add(self, piece: str, version: int, order: Order) -> int:
+    def add(self, piece: str, version: int, order: Command) -> int:
         body = _out.encode(order)
-        if len(body) > messages.MOST_RECORD - SPARE:
-            raise ValueError(f"an order of {len(body)} bytes; {messages.MOST_RECORD - SPARE} are allowed")
+        if len(body) > messages.MAX_COMMAND_BYTES - SPARE:
+            raise ValueError(f"an order of {len(body)} bytes; {messages.MAX_COMMAND_BYTES - SPARE} are allowed")
         if len(self._queue) >= self._most:
-            raise TooMany(f"{len(self._queue)} questions wait for the group; {self._most} are allowed")
+            raise TooManyRequestsError(f"{len(self._queue)} questions wait for the group; {self._most} are allowed")
         self._count += 1
-        self._queue.append(Waiting(self._count, piece, version, body))
+        self._queue.append(PendingRequest(self._count, piece, version, body))
         return self._count
 
     def wake_ms(self) -> float | None:
         return self._at if self._queue else None
 
-    def fly(self, now: float, session: int) -> messages.Ask | None:
+    def fly(self, now: float, session: int) -> messages.ProposeRequest | None:
         """What is to be sent now. One without an answer for a lease is sent again under its number."""
         if not self._queue or (self._at is not None and now < self._at):
             return None
         one = self._queue[0]
         one.doubtful = one.doubtful or one.flying
         one.flying, self._at = True, now + self._again
-        return messages.Ask(session, self._wire, one.piece, one.version, one.body)
+        return messages.ProposeRequest(session, self._wire, one.piece, one.version, one.body)
 
     def flies(self, seq: int) -> bool:
         return bool(self._queue) and self._queue[0].flying and seq == self._wire
 
-    def done(self, message: messages.Done) -> Answered:
+    def done(self, message: messages.ProposeReply) -> ReplyReceived:
         self._wire += 1
         return self._answered(message.ok, message.text, message.index)
 
-    def sorry(self, now: float, message: messages.Sorry) -> Answered | None:
+    def sorry(self, now: float, message: messages.RequestRejected) -> ReplyReceived | None:
         """None: it is asked again. That it was refused before it got into the log is believed at the second
         time: the first may be about another question that once had the number."""
         one = self._queue[0]
@@ -90,17 +90,17 @@
             self._at = now + self._pauses.next(self._again, message.come_back_ms)
             return None
         if message.why not in ("refused", "too new") or one.doubtful:
-            raise Misnumbered(f"{message.why}: {message.text}")
+            raise RequestOutOfOrderError(f"{message.why}: {message.text}")
         one.refusals += 1
         if one.refusals < 2:
             one.flying, self._at = False, None
             return None
         return self._answered(False, message.text, 0)  # the next question has its number
 
-    def _answered(self, ok: bool, text: str, index: int) -> Answered:
+    def _answered(self, ok: bool, text: str, index: int) -> ReplyReceived:
         self._at = None
         self._pauses.went_well()
-        return Answered(self._queue.popleft().seq, ok, text, index)
+        return ReplyReceived(self._queue.popleft().seq, ok, text, index)
 
     def dropped(self) -> None:
         """The connection is gone. What was on it is asked again on the next, under its number."""
@@ -109,12 +109,14 @@
             one = self._queue[0]
             one.flying, one.doubtful, one.refusals = False, True, 0
 
-    def over(self, why: str) -> list[Answered | Unknown]:
+    def over(self, why: str) -> list[ReplyReceived | OutcomeUnknown]:
         """What becomes of all that were asked in a session that has ended: none is carried on."""
         left = list(self._queue)
         self._queue.clear()
         self._wire, self._at = 1, None
         return [
-            Unknown(one.seq, why) if one.flying or one.doubtful else Answered(one.seq, False, f"not asked: {why}", 0)
+            OutcomeUnknown(one.seq, why)
+            if one.flying or one.doubtful
+            else ReplyReceived(one.seq, False, f"not asked: {why}", 0)
             for one in left
         ]
--- a/brookreach/coordination/client/session_holder.py
+++ b/brookreach/coordination/client/session_holder.py
@@ -8,7 +8,7 @@
 from brookreach.coordination.client.lease import Lease
 
 
-class NotHeld(Exception):
+class SessionNotHeldError(Exception):
     """There is no session whose lease holds: nothing may be done in its name."""
 
 
@@ -30,7 +30,7 @@
         return self._lease.session if self._lease.holds(now) else None
 
     def guard(self, now: float) -> int:
-        """The fence to act with; raises NotHeld."""
+        """The fence to act with; raises SessionNotHeldError."""
         if (fence := self.fence(now)) is None:
-            raise NotHeld(f"{self.name} holds no session at {now:.0f} ms of its clock")
+            raise SessionNotHeldError(f"{self.name} holds no session at {now:.0f} ms of its clock")
         return fence
--- a/brookreach/coordination/client/watch.py
+++ b/brookreach/coordination/client/watch.py
@@ -9,15 +9,15 @@
 import random
 from collections import Counter
 
-from brookreach.coordination.client.cache import Mirror, NotTaken
-from brookreach.coordination.client.events import Changed, KeptOut
+from brookreach.coordination.client.cache import RejectedUpdateError, TableCache
+from brookreach.coordination.client.events import RowsChanged, RowUnreadable
 from brookreach.coordination.client.leader_discovery import WAIT, Pauses
 from brookreach.coordination.ports import Timing
 from brookreach.coordination.protocol import messages
 
 
 class Watching:
-    def __init__(self, mirror: Mirror, timing: Timing, chance: random.Random, refusals: Counter[str]):
+    def __init__(self, mirror: TableCache, timing: Timing, chance: random.Random, refusals: Counter[str]):
         self._mirror, self._refusals = mirror, refusals
         self._lease, self._pauses = timing.lease_ms, Pauses(timing, chance)
         self._at: float | None = None  # when a Watch is due; None: all is well
@@ -29,20 +29,22 @@
         """On a new connection."""
         self._at = now if self._mirror.watched else None
 
-    def fly(self, now: float, session: int) -> messages.Watch | None:
+    def fly(self, now: float, session: int) -> messages.WatchRequest | None:
         if self._at is None or now < self._at:
             return None
         self._at = now + 2 * self._lease
-        return messages.Watch(session, self._mirror.asked(), self._mirror.watched)
+        return messages.WatchRequest(session, self._mirror.asked(), self._mirror.watched)
 
-    def hear(self, now: float, message: messages.Changes | messages.Whole) -> list[Changed | KeptOut]:
+    def hear(
+        self, now: float, message: messages.WatchUpdate | messages.WatchSnapshot
+    ) -> list[RowsChanged | RowUnreadable]:
         mirror = self._mirror
         if not mirror.watched:
             self._refusals["not asked"] += 1
             return []
         try:
-            told = mirror.changes(message) if isinstance(message, messages.Changes) else mirror.whole(message)
-        except NotTaken as error:
+            told = mirror.changes(message) if isinstance(message, messages.WatchUpdate) else mirror.whole(message)
+        except RejectedUpdateError as error:
             self._refusals[error.name] += 1
             if error.anew:
                 self._soon(now)
@@ -54,7 +56,7 @@
             self._at = now + 2 * self._lease  # the next part
         return told
 
-    def sorry(self, now: float, message: messages.Sorry) -> None:
+    def sorry(self, now: float, message: messages.RequestRejected) -> None:
         if self._at is None:
             self._refusals["not asked"] += 1
         elif message.why == "busy":
--- a/brookreach/coordination/configuration.py
+++ b/brookreach/coordination/configuration.py
@@ -69,11 +69,11 @@
     least_ready: Places
 
 
-class FleetFile(Part, frozen=True):
+class ClusterConfiguration(Part, frozen=True):
     """The whole file."""
 
     group: GroupPart
-    keeper: Annotated[tuple[KeeperPart, ...], msgspec.Meta(min_length=1, max_length=messages.MOST_SEATS)]
+    keeper: Annotated[tuple[KeeperPart, ...], msgspec.Meta(min_length=1, max_length=messages.MAX_MEMBERS)]
     timing: TimingPart = TimingPart()
     budget: tuple[BudgetPart, ...] = ()
 
@@ -84,9 +84,9 @@
         return Timing(**msgspec.structs.asdict(self.timing))
 
 
-def fleet(path: Path, values: dict[str, Any]) -> FleetFile:
+def read_values(path: Path, values: dict[str, Any]) -> ClusterConfiguration:
     """A file's values, checked; raises BadFile with all that is wrong between keys."""
-    told = checked(path, values, FleetFile)
+    told = checked(path, values, ClusterConfiguration)
     errors = _keepers(path, told) + _times(path, told.timing)
     seen = [(one.scope, one.kind) for one in told.budget]
     errors += [
@@ -99,7 +99,7 @@
     return told
 
 
-def _keepers(path: Path, told: FleetFile) -> list[str]:
+def _keepers(path: Path, told: ClusterConfiguration) -> list[str]:
     errors: list[str] = []
     for field in ("name", "listen", "disk"):
         stand = [getattr(one, field) for one in told.keeper]
@@ -145,12 +145,12 @@
     return errors
 
 
-def read(path: Path) -> FleetFile:
+def read(path: Path) -> ClusterConfiguration:
     """Raises BadFile."""
-    return fleet(path, read_toml(path))
+    return read_values(path, read_toml(path))
 
 
-def read_key(path: Path, told: FleetFile) -> bytes:
+def read_key(path: Path, told: ClusterConfiguration) -> bytes:
     """The group's key; raises BadFile where others may read it, or it is none."""
     file = path.parent / told.group.key
     octets = read_bounded(file, MOST_KEY)
--- a/brookreach/coordination/ports.py
+++ b/brookreach/coordination/ports.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
+class StoredState:
     """What a keeper's disk gives back at a start. Never less than what it was told to save and confirmed."""
 
     term: int = 0
@@ -50,7 +50,7 @@
 
 
 @dataclass(slots=True)
-class Save:
+class PendingSave:
     """To be on disk, all of it or none, before anything of the same `Ready` is sent or applied."""
 
     term: int
@@ -64,7 +64,7 @@
 class Ready:
     """What has come of the calls since the last: first save, then send, then apply, in this order."""
 
-    save: Save | None = None
+    save: PendingSave | None = None
     send: list[tuple[str, messages.Body]] = field(default_factory=list)
     restore: tuple[int, bytes] | None = None  # a snapshot to go on from
     apply: list[messages.Entry] = field(default_factory=list)
@@ -72,20 +72,20 @@
 
 
 class Disk(Protocol):
-    """One keeper's lasting memory. What can't be saved raises `DiskError`, and the keeper ends itself."""
+    """One keeper's lasting memory. What can't be saved raises `StorageError`, and the keeper ends itself."""
 
-    def load(self) -> Kept: ...
+    def load(self) -> StoredState: ...
 
-    def save(self, save: Save) -> None:
+    def save(self, save: PendingSave) -> None:
         """Returns when it lasts (fsync)."""
         ...
 
 
-class DiskError(Exception):
+class StorageError(Exception):
     """Full, torn beyond what is known to have been confirmed, or not of this group."""
 
 
-class Stamped(msgspec.Struct, frozen=True, forbid_unknown_fields=True, array_like=True):
+class LogRecord(msgspec.Struct, frozen=True, forbid_unknown_fields=True, array_like=True):
     """A record as it stands in an entry's octets: whose it is, who asked, at which agreed time."""
 
     piece: messages.Name
@@ -99,7 +99,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Applied:
+class AppliedCommand:
     """One record as the machine took it."""
 
     index: int
@@ -107,5 +107,5 @@
     seq: int
     ok: bool
     text: str
-    changes: tuple[messages.Change, ...]
-    why: messages.Why | None = None  # not taken as a record at all: the client hears Sorry, not Done
+    changes: tuple[messages.RowChange, ...]
+    why: messages.RejectionReason | None = None  # not taken as a record at all: the client hears Sorry, not Done
--- a/brookreach/coordination/protocol/messages.py
+++ b/brookreach/coordination/protocol/messages.py
@@ -1,7 +1,10 @@
-"""The one table of what is said between processes: `KEEPERS` among keepers, `ASKED` and `TOLD` with clients.
+"""The one table of the messages between processes.
 
-It owns each message's fields and their bounds, so that a reader's state sees no value that it can't hold.
-What is no message of the table raises `Refused` with a name and has no effect. Their bytes: `seal.py`.
+`REPLICA_MESSAGES` are sent among replicas, `CLIENT_MESSAGES` by clients and `SERVER_MESSAGES` to clients. The module
+owns each message's fields and their bounds, so that a reader's state sees no value that it can't hold. What is no
+message of the table raises `InvalidFrameError` with a name and has no effect. Their bytes are made in `frames.py`.
+
+A message's tag and the order of its fields are its form on the wire: a class that is renamed keeps its `tag`.
 """
 
 from __future__ import annotations
@@ -10,28 +13,36 @@
 
 import msgspec
 
-MOST_FRAME, MOST_RECORD, MOST_PART = 1 << 20, 64 << 10, 256 << 10  # bytes
-MOST_ENTRIES, MOST_ROWS, MOST_SEATS = 1024, 4096, 16
+MAX_FRAME_BYTES, MAX_COMMAND_BYTES, MAX_SNAPSHOT_CHUNK_BYTES = 1 << 20, 64 << 10, 256 << 10  # bytes
+MAX_ENTRIES, MAX_ROWS, MAX_MEMBERS = 1024, 4096, 16
 
 Count = Annotated[int, msgspec.Meta(ge=0, le=1 << 53)]
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=64, pattern=r"^[A-Za-z0-9._-]+\Z")]
 Key = Annotated[str, msgspec.Meta(max_length=200)]
 Text = Annotated[str, msgspec.Meta(max_length=400)]
-Record = Annotated[bytes, msgspec.Meta(max_length=MOST_RECORD)]
-Octets = Annotated[bytes, msgspec.Meta(max_length=MOST_PART)]
-Kind = Literal["marshal", "agent", "operator"]
-Why = Literal["not leader", "busy", "no session", "too new", "refused", "out of order", "ending"]
+Record = Annotated[bytes, msgspec.Meta(max_length=MAX_COMMAND_BYTES)]
+Octets = Annotated[bytes, msgspec.Meta(max_length=MAX_SNAPSHOT_CHUNK_BYTES)]
+ClientKind = Literal["marshal", "agent", "operator"]
+RejectionReason = Literal["not leader", "busy", "no session", "too new", "refused", "out of order", "ending"]
 
 
-class Refused(ValueError):
-    """A frame or message without effect. `name` is one of `REASONS`."""
+class InvalidFrameError(ValueError):
+    """A frame or message without effect. `name` is one of `INVALID_FRAME_REASONS`."""
 
     def __init__(self, name: str, text: str):
         super().__init__(f"{name}: {text}")
         self.name = name
 
 
-REASONS = ("too long", "bad seal", "unreadable", "other version", "other group", "not for me", "not its to say")
+INVALID_FRAME_REASONS = (
+    "too long",
+    "bad seal",
+    "unreadable",
+    "other version",
+    "other group",
+    "not for me",
+    "not its to say",
+)
 
 
 class Message(msgspec.Struct, frozen=True, forbid_unknown_fields=True, tag=True, array_like=True):
@@ -49,7 +60,7 @@
     octets: Record
 
 
-class AskVote(Message):
+class RequestVote(Message, tag="AskVote"):
     """`trial`: asked before the term is raised. `handed`: the leader itself asked for this election."""
 
     term: Count
@@ -59,14 +70,14 @@
     handed: bool
 
 
-class Vote(Message):
+class RequestVoteReply(Message, tag="Vote"):
     term: Count
     trial: bool
     given: bool
     wall_ms: Count  # the voter's clock: a new leader's time begins at the low median
 
 
-class Append(Message):
+class AppendEntries(Message, tag="Append"):
     """`round` counts the leader's rounds: an answer to one shows that it led when that was sent."""
 
     term: Count
@@ -74,10 +85,10 @@
     prev_term: Count
     commit: Count
     round: Count
-    entries: Annotated[tuple[Entry, ...], msgspec.Meta(max_length=MOST_ENTRIES)]
+    entries: Annotated[tuple[Entry, ...], msgspec.Meta(max_length=MAX_ENTRIES)]
 
 
-class Appended(Message):
+class AppendEntriesReply(Message, tag="Appended"):
     """`index`: if ok the last that is the leader's and on disk, else where the leader may try."""
 
     term: Count
@@ -86,7 +97,7 @@
     round: Count
 
 
-class Part(Message):
+class InstallSnapshot(Message, tag="Part"):
     """A part of a snapshot of all up to `index`."""
 
     term: Count
@@ -98,14 +109,14 @@
     octets: Octets
 
 
-class PartGot(Message):
+class InstallSnapshotReply(Message, tag="PartGot"):
     term: Count
     index: Count
     offset: Count  # all before it is held
     round: Count
 
 
-class HandOver(Message):
+class TimeoutNow(Message, tag="HandOver"):
     """The leader that ends asks its best follower to stand at once."""
 
     term: Count
@@ -114,16 +125,16 @@
 # --- what clients ask ---
 
 
-class Join(Message):
+class OpenSession(Message, tag="Join"):
     """The first on a connection. `session` 0 begins one; else the one to go on with."""
 
     client: Name
-    kind: Kind
+    kind: ClientKind
     session: Count
     version: Count  # of the client's records
 
 
-class Ask(Message):
+class ProposeRequest(Message, tag="Ask"):
     """A record for the log; `seq` counts up in a session, the same one again is the same question."""
 
     session: Count
@@ -133,7 +144,7 @@
     body: Record
 
 
-class Read(Message):
+class ReadRequest(Message, tag="Read"):
     """All rows of a table whose keys begin with `prefix`, not older than when it was asked."""
 
     seq: Count
@@ -141,12 +152,12 @@
     prefix: Key
 
 
-class Renew(Message):
+class KeepAlive(Message, tag="Renew"):
     session: Count
     seq: Count
 
 
-class Watch(Message):
+class WatchRequest(Message, tag="Watch"):
     """Tell me what changes in these tables after `since`."""
 
     session: Count
@@ -154,14 +165,14 @@
     tables: Annotated[tuple[Name, ...], msgspec.Meta(max_length=64)]
 
 
-class Leave(Message):
+class CloseSession(Message, tag="Leave"):
     session: Count
 
 
 # --- what clients are told ---
 
 
-class Change(msgspec.Struct, frozen=True, forbid_unknown_fields=True, array_like=True):
+class RowChange(msgspec.Struct, frozen=True, forbid_unknown_fields=True, array_like=True):
     """A row as it is now; without octets it is gone. Octets are the row's struct in msgpack."""
 
     table: Name
@@ -169,13 +180,13 @@
     octets: Record | None
 
 
-class Joined(Message):
+class SessionOpened(Message, tag="Joined"):
     session: Count
     lease_ms: Count
     at_ms: Count  # the agreed time
 
 
-class Done(Message):
+class ProposeReply(Message, tag="Done"):
     """The record stands at `index` and was applied; `ok` False: refused by the state, and changed nothing."""
 
     seq: Count
@@ -184,51 +195,69 @@
     text: Text
 
 
-class Rows(Message):
+class ReadReply(Message, tag="Rows"):
     seq: Count
     index: Count
     last: bool
-    rows: Annotated[tuple[Change, ...], msgspec.Meta(max_length=MOST_ROWS)]
+    rows: Annotated[tuple[RowChange, ...], msgspec.Meta(max_length=MAX_ROWS)]
 
 
-class Renewed(Message):
+class KeepAliveReply(Message, tag="Renewed"):
     seq: Count
     lease_ms: Count
     at_ms: Count
 
 
-class Changes(Message):
+class WatchUpdate(Message, tag="Changes"):
     """All changes of the watched tables after `since`, to `index`."""
 
     since: Count
     index: Count
-    rows: Annotated[tuple[Change, ...], msgspec.Meta(max_length=MOST_ROWS)]
+    rows: Annotated[tuple[RowChange, ...], msgspec.Meta(max_length=MAX_ROWS)]
 
 
-class Whole(Message):
+class WatchSnapshot(Message, tag="Whole"):
     """The watched tables as of `index`, in parts; what is in none of them is gone."""
 
     index: Count
     nth: Count
     last: bool
-    rows: Annotated[tuple[Change, ...], msgspec.Meta(max_length=MOST_ROWS)]
+    rows: Annotated[tuple[RowChange, ...], msgspec.Meta(max_length=MAX_ROWS)]
 
 
-class Sorry(Message):
+class RequestRejected(Message, tag="Sorry"):
     """Not done, and never will be under this question unless asked again."""
 
     seq: Count
-    why: Why
+    why: RejectionReason
     text: Text
     leader: Annotated[str, msgspec.Meta(max_length=64)]
     come_back_ms: Count
 
 
-KEEPERS = (AskVote, Vote, Append, Appended, Part, PartGot, HandOver)
-ASKED = (Join, Ask, Read, Renew, Watch, Leave)
-TOLD = (Joined, Done, Rows, Renewed, Changes, Whole, Sorry)
-TABLE = KEEPERS + ASKED + TOLD
-FromKeeper = AskVote | Vote | Append | Appended | Part | PartGot | HandOver
-FromClient = Join | Ask | Read | Renew | Watch | Leave
-ToClient = Joined | Done | Rows | Renewed | Changes | Whole | Sorry
-Body = FromKeeper | FromClient | ToClient
+REPLICA_MESSAGES = (
+    RequestVote,
+    RequestVoteReply,
+    AppendEntries,
+    AppendEntriesReply,
+    InstallSnapshot,
+    InstallSnapshotReply,
+    TimeoutNow,
+)
+CLIENT_MESSAGES = (OpenSession, ProposeRequest, ReadRequest, KeepAlive, WatchRequest, CloseSession)
+SERVER_MESSAGES = (SessionOpened, ProposeReply, ReadReply, KeepAliveReply, WatchUpdate, WatchSnapshot, RequestRejected)
+ALL_MESSAGES = REPLICA_MESSAGES + CLIENT_MESSAGES + SERVER_MESSAGES
+ReplicaMessage = (
+    RequestVote
+    | RequestVoteReply
+    | AppendEntries
+    | AppendEntriesReply
+    | InstallSnapshot
+    | InstallSnapshotReply
+    | TimeoutNow
+)
+ClientMessage = OpenSession | ProposeRequest | ReadRequest | KeepAlive | WatchRequest | CloseSession
+ServerMessage = (
+    SessionOpened | ProposeReply | ReadReply | KeepAliveReply | WatchUpdate | WatchSnapshot | RequestRejected
+)
+Body = ReplicaMessage | ClientMessage | ServerMessage
--- a/brookreach/coordination/protocol/stream.py
+++ b/brookreach/coordination/protocol/stream.py
@@ -29,7 +29,7 @@
     hello_s: float = 2.0  # within which they have to
     dial_s: float = 1.0
     stalled_s: float = 5.0  # a peer that takes nothing for so long has gone
-    asked: int = messages.MOST_RECORD + 4096  # the longest frame of a client
+    asked: int = messages.MAX_COMMAND_BYTES + 4096  # the longest frame of a client
     to_client: int = 4 << 20  # past it the client is cut off: it comes again and is told the whole
     behind: int = 512 << 10  # past it nothing more of what it watches is put there
     to_keeper: int = 8 << 20  # past it the oldest is dropped: what it said is said again
--- a/brookreach/coordination/raft/election.py
+++ b/brookreach/coordination/raft/election.py
@@ -6,14 +6,14 @@
 
 from __future__ import annotations
 
-from brookreach.coordination.protocol.messages import AskVote, HandOver, Vote
-from brookreach.coordination.raft.node_state import FOLLOWS, LEADS, STANDS, TRIES, Core
+from brookreach.coordination.protocol.messages import RequestVote, RequestVoteReply, TimeoutNow
+from brookreach.coordination.raft.node_state import FOLLOWS, LEADS, STANDS, TRIES, NodeState
 
 
 class Election:
     """`wall_ms` is the low median of the clocks that came with the votes which made this keeper a leader."""
 
-    def __init__(self, core: Core):
+    def __init__(self, core: NodeState):
         self.core = core
         self.votes: set[str] = set()
         self.walls: dict[str, int] = {}
@@ -37,7 +37,7 @@
     def _ask(self, term: int, trial: bool, handed: bool) -> None:
         core = self.core
         self.votes, self.walls = {core.me}, {core.me: core.wall_ms}
-        ask = AskVote(term, core.log.last, core.log.last_term, trial, handed)
+        ask = RequestVote(term, core.log.last, core.log.last_term, trial, handed)
         for other in core.others():
             core.say(other, ask)
         self._count()
@@ -53,7 +53,7 @@
             clocks = sorted(self.walls.values())
             self.wall_ms = clocks[(len(clocks) - 1) // 2]
 
-    def asked(self, source: str, ask: AskVote) -> None:
+    def asked(self, source: str, ask: RequestVote) -> None:
         """One without a seat that I know may ask: its seat may stand further on in the log than mine ends."""
         core = self.core
         if ask.last_term >= ask.term or (ask.last_index == 0) != (ask.last_term == 0):
@@ -66,9 +66,9 @@
         else:
             given = self._voted_for(source, ask)
         term = ask.term if ask.trial and given else core.term
-        core.say(source, Vote(term, ask.trial, given, core.wall_ms))
+        core.say(source, RequestVoteReply(term, ask.trial, given, core.wall_ms))
 
-    def _voted_for(self, source: str, ask: AskVote) -> bool:
+    def _voted_for(self, source: str, ask: RequestVote) -> bool:
         core = self.core
         if ask.term > core.term:
             core.rise(ask.term)
@@ -78,7 +78,7 @@
         core.step_down()  # it waits for the one it voted for
         return True
 
-    def answered(self, source: str, vote: Vote) -> None:
+    def answered(self, source: str, vote: RequestVoteReply) -> None:
         core = self.core
         if source not in core.seats:
             return core.refuse("not a seat")
@@ -93,7 +93,7 @@
             self.walls[source] = vote.wall_ms
             self._count()
 
-    def handed(self, source: str, message: HandOver) -> None:
+    def handed(self, source: str, message: TimeoutNow) -> None:
         core = self.core
         if message.term != core.term or source != core.leader or core.role != FOLLOWS:
             core.refuse("not my leader")
--- a/brookreach/coordination/raft/follower.py
+++ b/brookreach/coordination/raft/follower.py
@@ -6,13 +6,19 @@
 
 from __future__ import annotations
 
-from brookreach.coordination.protocol.messages import Append, Appended, Entry, Part, PartGot
+from brookreach.coordination.protocol.messages import (
+    AppendEntries,
+    AppendEntriesReply,
+    Entry,
+    InstallSnapshot,
+    InstallSnapshotReply,
+)
 from brookreach.coordination.raft.membership import listed
-from brookreach.coordination.raft.node_state import FOLLOWS, LEADS, Core
+from brookreach.coordination.raft.node_state import FOLLOWS, LEADS, NodeState
 from brookreach.coordination.raft.snapshot_transfer import Taking, Torn
 
 
-def misshapen(append: Append) -> str | None:
+def misshapen(append: AppendEntries) -> str | None:
     """Why no leader can have said this; None: one can."""
     place, term = append.prev_index, append.prev_term
     if (place == 0) != (term == 0):
@@ -32,7 +38,7 @@
 
 
 class Follower:
-    def __init__(self, core: Core):
+    def __init__(self, core: NodeState):
         self.core = core
         self.taking = Taking()
 
@@ -47,20 +53,20 @@
         core.rest()
         return True
 
-    def append(self, source: str, message: Append) -> None:
+    def append(self, source: str, message: AppendEntries) -> None:
         core, log = self.core, self.core.log
         wrong = misshapen(message)
         if wrong:
             return core.refuse(wrong)
         if message.term < core.term:  # so that it hears of the newer term
-            return core.say(source, Appended(core.term, False, log.last, message.round))
+            return core.say(source, AppendEntriesReply(core.term, False, log.last, message.round))
         if not self._follows(source, message.term):
             return
         prev, end = message.prev_index, message.prev_index + len(message.entries)
         if prev >= log.base and log.term_at(prev) != message.prev_term:
             if prev <= core.commit:
                 return core.refuse("against what is committed")
-            return core.say(source, Appended(core.term, False, self._before(prev), message.round))
+            return core.say(source, AppendEntriesReply(core.term, False, self._before(prev), message.round))
         new = self._new(message.entries)
         if new is None:
             return core.refuse("against what is committed")
@@ -69,7 +75,7 @@
             core.add(new)
         core.commit = max(core.commit, min(message.commit, end))
         # Up to `commit` every leader has what stands here, so this may be told beyond the message's end.
-        core.say(source, Appended(core.term, True, max(end, core.commit), message.round))
+        core.say(source, AppendEntriesReply(core.term, True, max(end, core.commit), message.round))
 
     def _before(self, prev: int) -> int:
         """Where a leader whose entry at `prev` is another may try: before all of mine of that term."""
@@ -92,22 +98,22 @@
             return None if entry.index <= core.commit else list(entries[nth:])
         return []
 
-    def part(self, source: str, message: Part) -> None:
+    def part(self, source: str, message: InstallSnapshot) -> None:
         core = self.core
         if message.index == 0 or not 1 <= message.index_term <= message.term:
             return core.refuse("a snapshot that can't be")
         if message.term < core.term:
-            return core.say(source, Appended(core.term, False, core.log.last, message.round))
+            return core.say(source, AppendEntriesReply(core.term, False, core.log.last, message.round))
         if not self._follows(source, message.term):
             return
         if message.index <= core.commit:
-            return core.say(source, Appended(core.term, True, core.commit, message.round))
+            return core.say(source, AppendEntriesReply(core.term, True, core.commit, message.round))
         held, snapshot = 0, None
         try:
             held, snapshot = self.taking.take(message)
         except Torn as torn:
             core.refuse(str(torn))
         if snapshot is None:
-            return core.say(source, PartGot(core.term, message.index, held, message.round))
+            return core.say(source, InstallSnapshotReply(core.term, message.index, held, message.round))
         core.install(snapshot)
-        core.say(source, Appended(core.term, True, snapshot.index, message.round))
+        core.say(source, AppendEntriesReply(core.term, True, snapshot.index, message.round))
--- a/brookreach/coordination/raft/log.py
+++ b/brookreach/coordination/raft/log.py
@@ -8,10 +8,10 @@
 
 from collections.abc import Iterable
 
-from brookreach.coordination.protocol.messages import MOST_ENTRIES, MOST_FRAME, Entry
+from brookreach.coordination.protocol.messages import MAX_ENTRIES, MAX_FRAME_BYTES, Entry
 
 TAIL = 1024  # entries kept in memory before a snapshot, so that one slightly behind needs no whole
-MOST_BYTES = MOST_FRAME // 2  # of entries in one Append
+MOST_BYTES = MAX_FRAME_BYTES // 2  # of entries in one Append
 AROUND = 32  # bytes that an entry takes in a frame beside its octets, at most
 
 
@@ -47,7 +47,7 @@
     def since(self, after: int) -> tuple[Entry, ...]:
         """What of the entries after a place fits one Append; at least one, where there is any."""
         start, size, count = after - self.base, 0, 0
-        for entry in self.entries[start : start + MOST_ENTRIES]:
+        for entry in self.entries[start : start + MAX_ENTRIES]:
             size += len(entry.octets) + AROUND
             if count and size > MOST_BYTES:
                 break
--- a/brookreach/coordination/raft/membership.py
+++ b/brookreach/coordination/raft/membership.py
@@ -12,22 +12,22 @@
 
 import msgspec
 
-from brookreach.coordination.ports import Stamped
-from brookreach.coordination.protocol.messages import MOST_SEATS, Entry, Name
+from brookreach.coordination.ports import LogRecord
+from brookreach.coordination.protocol.messages import MAX_MEMBERS, Entry, Name
 
 PIECE, VERSION = "seats", 1
 HEAD = b"\x98\xa5seats"  # how a Stamped of this piece begins in msgpack
 _NAME = re.compile(r"[A-Za-z0-9._-]{1,64}")  # as words.Name
 
-Seats = Annotated[tuple[Name, ...], msgspec.Meta(min_length=1, max_length=MOST_SEATS)]
-_stamps = msgspec.msgpack.Decoder(Stamped, strict=True)
+Seats = Annotated[tuple[Name, ...], msgspec.Meta(min_length=1, max_length=MAX_MEMBERS)]
+_stamps = msgspec.msgpack.Decoder(LogRecord, strict=True)
 _seats = msgspec.msgpack.Decoder(Seats, strict=True)
 
 
 def record(seats: tuple[str, ...], at_ms: int) -> bytes:
     """The octets of an entry by which these have the seats."""
     body = msgspec.msgpack.encode(seats)
-    return msgspec.msgpack.encode(Stamped(PIECE, VERSION, at_ms, "", "", 0, 0, body))
+    return msgspec.msgpack.encode(LogRecord(PIECE, VERSION, at_ms, "", "", 0, 0, body))
 
 
 def listed(octets: bytes) -> tuple[str, ...] | None:
@@ -44,7 +44,7 @@
 
 
 def proper(seats: tuple[str, ...]) -> bool:
-    return 1 <= len(set(seats)) == len(seats) <= MOST_SEATS and all(_NAME.fullmatch(one) for one in seats)
+    return 1 <= len(set(seats)) == len(seats) <= MAX_MEMBERS and all(_NAME.fullmatch(one) for one in seats)
 
 
 def one_apart(seats: tuple[str, ...], others: tuple[str, ...]) -> bool:
--- a/brookreach/coordination/raft/node.py
+++ b/brookreach/coordination/raft/node.py
@@ -11,41 +11,41 @@
 import random
 from collections import Counter
 
-from brookreach.coordination.ports import DiskError, Kept, Ready, Timing
+from brookreach.coordination.ports import Ready, StorageError, StoredState, Timing
 from brookreach.coordination.protocol.messages import (
-    MOST_RECORD,
-    Append,
-    Appended,
-    AskVote,
+    MAX_COMMAND_BYTES,
+    AppendEntries,
+    AppendEntriesReply,
     Body,
-    HandOver,
-    Part,
-    PartGot,
-    Vote,
+    InstallSnapshot,
+    InstallSnapshotReply,
+    RequestVote,
+    RequestVoteReply,
+    TimeoutNow,
 )
 from brookreach.coordination.raft import membership
 from brookreach.coordination.raft.election import Election
 from brookreach.coordination.raft.follower import Follower
-from brookreach.coordination.raft.node_state import LEADS, MOST_JUMP, Core
-from brookreach.coordination.raft.replication import Leading
+from brookreach.coordination.raft.node_state import LEADS, MOST_JUMP, NodeState
+from brookreach.coordination.raft.replication import LeaderReplication
 from brookreach.coordination.raft.snapshot_transfer import Snapshot
 
 
-class Raft:
+class RaftNode:
     """`seats` are those of the configuration; a keeper that is founded, and never stood, must be of the same.
 
     Who sits where comes from the disk alone: `Store.found` or `Store.join` wrote it once. A keeper whose disk
     holds neither is `mute`.
     """
 
-    def __init__(self, me: str, kept: Kept, seats: tuple[str, ...], timing: Timing, chance: random.Random):
+    def __init__(self, me: str, kept: StoredState, seats: tuple[str, ...], timing: Timing, chance: random.Random):
         if seats and me in kept.seats and kept.term == kept.index == 0 and set(seats) != set(kept.seats):
             founded, named = ", ".join(sorted(kept.seats)), ", ".join(sorted(seats))
-            raise DiskError(f"founded with {founded}; named are {named}")
-        self.core = Core(me, kept, timing, chance)
+            raise StorageError(f"founded with {founded}; named are {named}")
+        self.core = NodeState(me, kept, timing, chance)
         self.election = Election(self.core)
         self.follower = Follower(self.core)
-        self.leading: Leading | None = None
+        self.leading: LeaderReplication | None = None
         self.tickets = 0
 
     # --- how it stands ---
@@ -102,25 +102,34 @@
             return core.refuse("mute")
         if source == core.me:
             return core.refuse("from myself")
-        if not isinstance(message, AskVote | Vote | Append | Appended | Part | PartGot | HandOver):
+        if not isinstance(
+            message,
+            RequestVote
+            | RequestVoteReply
+            | AppendEntries
+            | AppendEntriesReply
+            | InstallSnapshot
+            | InstallSnapshotReply
+            | TimeoutNow,
+        ):
             return core.refuse("not among keepers")
         if not 1 <= message.term <= core.term + MOST_JUMP:
             return core.refuse("a term that can't be")
-        if isinstance(message, AskVote):
+        if isinstance(message, RequestVote):
             self.election.asked(source, message)
-        elif isinstance(message, Vote):
+        elif isinstance(message, RequestVoteReply):
             self.election.answered(source, message)
-        elif isinstance(message, HandOver):
+        elif isinstance(message, TimeoutNow):
             self.election.handed(source, message)
-        elif isinstance(message, Append):
+        elif isinstance(message, AppendEntries):
             self.follower.append(source, message)
-        elif isinstance(message, Part):
+        elif isinstance(message, InstallSnapshot):
             self.follower.part(source, message)
         else:
             self._answered(source, message)
         self._lead()
 
-    def _answered(self, source: str, answer: Appended | PartGot) -> None:
+    def _answered(self, source: str, answer: AppendEntriesReply | InstallSnapshotReply) -> None:
         core = self.core
         if answer.term > core.term:
             if source in core.seats:
@@ -146,7 +155,7 @@
         if self.core.role != LEADS:
             self.leading = None
         elif self.leading is None:
-            self.leading = Leading(self.core)
+            self.leading = LeaderReplication(self.core)
 
     def wake_ms(self) -> float:
         """When to call `passed` again, by the clock of `now`; what is past means at once."""
@@ -178,7 +187,7 @@
             return None
         if core.log.last - core.commit >= core.timing.most_queued:
             return None
-        if not 1 <= len(octets) <= MOST_RECORD or octets.startswith(membership.HEAD):
+        if not 1 <= len(octets) <= MAX_COMMAND_BYTES or octets.startswith(membership.HEAD):
             core.refuse("a record that can't be")
             return None
         return self.leading.add(octets)
--- a/brookreach/coordination/raft/node_state.py
+++ b/brookreach/coordination/raft/node_state.py
@@ -11,8 +11,8 @@
 from collections import Counter
 from collections.abc import Iterable
 
-from brookreach.coordination.ports import Kept, Ready, Save, Timing
-from brookreach.coordination.protocol.messages import AskVote, Body, Entry
+from brookreach.coordination.ports import PendingSave, Ready, StoredState, Timing
+from brookreach.coordination.protocol.messages import Body, Entry, RequestVote
 from brookreach.coordination.raft.log import Log
 from brookreach.coordination.raft.membership import Members
 from brookreach.coordination.raft.snapshot_transfer import Snapshot
@@ -21,10 +21,10 @@
 MOST_JUMP = 1 << 32  # terms a message may be ahead: one changed word must not use the terms up
 
 
-class Core:
+class NodeState:
     """One keeper. `vote` is "" where none was given in `term`, `leader` is "" where none is known."""
 
-    def __init__(self, me: str, kept: Kept, timing: Timing, chance: random.Random):
+    def __init__(self, me: str, kept: StoredState, timing: Timing, chance: random.Random):
         self.me, self.timing, self.chance = me, timing, chance
         self.term, self.vote = kept.term, kept.vote
         self.log = Log(kept.index, kept.index_term, kept.entries)
@@ -94,7 +94,7 @@
     def vote_for(self, name: str) -> None:
         self.vote, self.promised = name, True
 
-    def behind(self, ask: AskVote) -> bool:
+    def behind(self, ask: RequestVote) -> bool:
         """Whether the asker's log ends before mine: then it may lack what is committed."""
         return (ask.last_term, ask.last_index) < (self.log.last_term, self.log.last)
 
@@ -131,14 +131,14 @@
     def unsaved(self) -> bool:
         return self.promised or self.cut_made or self.log.changed()
 
-    def to_save(self) -> Save | None:
+    def to_save(self) -> PendingSave | None:
         if not self.unsaved():
             return None
         after, entries = self.log.to_save()
         made = self.snapshot if self.cut_made else None
         self.promised = self.cut_made = False
         self.saving = True
-        return Save(
+        return PendingSave(
             self.term, self.vote, after, entries, (made.index, made.term, made.seats, made.octets) if made else None
         )
 
--- a/brookreach/coordination/raft/progress.py
+++ b/brookreach/coordination/raft/progress.py
@@ -8,7 +8,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from brookreach.coordination.protocol.messages import Appended, PartGot
+from brookreach.coordination.protocol.messages import AppendEntriesReply, InstallSnapshotReply
 from brookreach.coordination.raft.snapshot_transfer import Sending
 
 WINDOW = 8  # Appends with entries under way to one follower
@@ -49,7 +49,7 @@
         self.heard = now
         self.answered = max(self.answered, round)
 
-    def took(self, answer: Appended, base: int) -> None:
+    def took(self, answer: AppendEntriesReply, base: int) -> None:
         """All up to `answer.index` is on its disk. `base`: the place before the first entry held here."""
         if answer.index > self.match:
             self.match, self.match_round = answer.index, answer.round
@@ -63,7 +63,7 @@
         elif answer.index >= self.next - 1:
             self.probing, self.waiting, self.next = False, False, answer.index + 1
 
-    def parted(self, answer: Appended) -> str | None:
+    def parted(self, answer: AppendEntriesReply) -> str | None:
         """Its log isn't mine up to the place asked for. The name of what is wrong with that, if anything."""
         if self.sending or answer.index + 1 >= self.next:
             return None  # said before, or of another question
@@ -73,7 +73,7 @@
         self.probe(answer.index + 1)
         return "behind its own word" if behind else None
 
-    def got(self, answer: PartGot) -> str | None:
+    def got(self, answer: InstallSnapshotReply) -> str | None:
         if self.sending is None or answer.index != self.sending.index:
             return "no such transfer"
         return None if self.sending.wanted(answer.offset) else "past the snapshot's end"
--- a/brookreach/coordination/raft/replication.py
+++ b/brookreach/coordination/raft/replication.py
@@ -11,8 +11,14 @@
 from dataclasses import dataclass
 from typing import TypeVar
 
-from brookreach.coordination.protocol.messages import Append, Appended, Entry, HandOver, PartGot
-from brookreach.coordination.raft.node_state import LEADS, Core
+from brookreach.coordination.protocol.messages import (
+    AppendEntries,
+    AppendEntriesReply,
+    Entry,
+    InstallSnapshotReply,
+    TimeoutNow,
+)
+from brookreach.coordination.raft.node_state import LEADS, NodeState
 from brookreach.coordination.raft.progress import PATIENCE, Peer
 from brookreach.coordination.raft.snapshot_transfer import Sending
 
@@ -35,8 +41,8 @@
     said: bool = False
 
 
-class Leading:
-    def __init__(self, core: Core):
+class LeaderReplication:
+    def __init__(self, core: NodeState):
         self.core = core
         self.round = self.read_round = 0
         self.peers: dict[str, Peer] = {}
@@ -90,7 +96,7 @@
         core, handing = self.core, self.handing
         if handing and not handing.said and self.peers[handing.target].match == core.log.last:
             handing.said = True
-            core.say(handing.target, HandOver(core.term))
+            core.say(handing.target, TimeoutNow(core.term))
 
     # --- out ---
 
@@ -156,7 +162,7 @@
         core = self.core
         peer.round = self.round
         peer.sent = max(peer.sent, prev + len(entries))
-        core.say(name, Append(core.term, prev, core.log.term_at(prev) or 0, core.commit, self.round, entries))
+        core.say(name, AppendEntries(core.term, prev, core.log.term_at(prev) or 0, core.commit, self.round, entries))
 
     def _send_part(self, name: str, peer: Peer) -> None:
         if peer.sending:
@@ -171,14 +177,14 @@
 
     # --- answers ---
 
-    def answered(self, source: str, answer: Appended | PartGot) -> None:
+    def answered(self, source: str, answer: AppendEntriesReply | InstallSnapshotReply) -> None:
         core, peer = self.core, self.peers.get(source)
         if peer is None:
             return core.refuse("not a seat")
         if answer.round > peer.round:
             return core.refuse("a round never sent")
         wrong: str | None = None
-        if isinstance(answer, PartGot):
+        if isinstance(answer, InstallSnapshotReply):
             wrong = peer.got(answer)
         elif not answer.ok:
             wrong = peer.parted(answer)
@@ -219,5 +225,5 @@
         if core.me not in core.seats:
             self._begin_round()
             best = max(core.seats, key=lambda one: self.peers[one].match)
-            core.say(best, HandOver(core.term))
+            core.say(best, TimeoutNow(core.term))
             core.step_down()
--- a/brookreach/coordination/raft/snapshot_transfer.py
+++ b/brookreach/coordination/raft/snapshot_transfer.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from brookreach.coordination.protocol.messages import MOST_PART, Count, Part
+from brookreach.coordination.protocol.messages import MAX_SNAPSHOT_CHUNK_BYTES, Count, InstallSnapshot
 from brookreach.coordination.raft import membership
 
 MOST_SNAPSHOT = 1 << 28  # bytes of one that a follower collects
@@ -70,11 +70,11 @@
         self.waiting = False
         self.sent_at = 0.0
 
-    def part(self, now: float, term: int, round: int) -> Part:
+    def part(self, now: float, term: int, round: int) -> InstallSnapshot:
         self.waiting, self.sent_at = True, now
-        octets = self.octets[self.offset : self.offset + MOST_PART]
+        octets = self.octets[self.offset : self.offset + MAX_SNAPSHOT_CHUNK_BYTES]
         last = self.offset + len(octets) == len(self.octets)
-        return Part(term, self.index, self.term, self.offset, last, round, octets)
+        return InstallSnapshot(term, self.index, self.term, self.offset, last, round, octets)
 
     def wanted(self, offset: int) -> bool:
         """The follower holds all before `offset`. False: that is not in this snapshot."""
@@ -94,7 +94,7 @@
     def drop(self) -> None:
         self.of, self.held = None, bytearray()
 
-    def take(self, part: Part) -> tuple[int, Snapshot | None]:
+    def take(self, part: InstallSnapshot) -> tuple[int, Snapshot | None]:
         """From where on the next is wanted, and the snapshot if it is whole. Raises Torn, and begins anew."""
         of = part.term, part.index, part.index_term
         if of != self.of:
--- a/brookreach/coordination/server/change_feed.py
+++ b/brookreach/coordination/server/change_feed.py
@@ -16,17 +16,17 @@
 from typing import NamedTuple
 
 from brookreach.coordination.protocol import messages
-from brookreach.coordination.state_machine.machine import Machine
+from brookreach.coordination.state_machine.machine import StateMachine
 from brookreach.coordination.state_machine.tables import SUM, weight
 
 MARKS = 64  # watched tables, at most, as words.Watch
-Rows = tuple[messages.Change, ...]
+Rows = tuple[messages.RowChange, ...]
 Names = tuple[str, ...]
 
 
 def marked(names: Collection[str], total: int) -> Rows:
     octets = (total % (1 << 8 * SUM)).to_bytes(SUM, "big")
-    return tuple(messages.Change(one, "", None if nth else octets) for nth, one in enumerate(names))
+    return tuple(messages.RowChange(one, "", None if nth else octets) for nth, one in enumerate(names))
 
 
 class Step(NamedTuple):
@@ -55,8 +55,8 @@
     parts: tuple[tuple[Rows, int], ...]  # and their bytes
 
 
-class Ring:
-    def __init__(self, machine: Machine, most_ring: int, most_bytes: int):
+class ChangeFeed:
+    def __init__(self, machine: StateMachine, most_ring: int, most_bytes: int):
         self._machine, self._most_ring, self._most_bytes = machine, most_ring, most_bytes
         self.index = self.floor = 0
         self.octets = 0
@@ -106,7 +106,7 @@
             if step.place <= seen:
                 break
             later.append(step)
-        rows: dict[tuple[str, str], messages.Change] = {}
+        rows: dict[tuple[str, str], messages.RowChange] = {}
         last: dict[tuple[str, str], int] = {}  # what each row weighs at the end
         octets, upto, full = 0, seen, False
         total = sum(self._sums[one] for one in names)
@@ -114,7 +114,7 @@
             mine = [one for one in step.changes if one.table in names]
             size = sum(weight(one) for one in mine)
             last.update(((one.table, one.key), weight(one)) for one in mine)
-            many = len(rows) + len(mine) > messages.MOST_ROWS - MARKS
+            many = len(rows) + len(mine) > messages.MAX_ROWS - MARKS
             full = full or many or octets + size > self._most_bytes
             if full:
                 total -= sum(step.moved.get(one, 0) for one in names)
@@ -136,7 +136,7 @@
             for name in names:
                 for one in self._machine.view.changes(name):
                     size = weight(one)
-                    if len(part) >= messages.MOST_ROWS or octets + size > self._most_bytes:
+                    if len(part) >= messages.MAX_ROWS or octets + size > self._most_bytes:
                         parts.append((tuple(part), octets))
                         part, octets = [], 0
                     part.append(one)
--- a/brookreach/coordination/server/leader.py
+++ b/brookreach/coordination/server/leader.py
@@ -13,25 +13,33 @@
 from collections.abc import Sequence
 from functools import partial
 
-from brookreach.coordination.ports import Applied, Timing
+from brookreach.coordination.ports import AppliedCommand, Timing
 from brookreach.coordination.protocol import messages
-from brookreach.coordination.raft.node import Raft
+from brookreach.coordination.raft.node import RaftNode
 from brookreach.coordination.server.leader_term import Term
-from brookreach.coordination.server.proposals import Flights, Flying, Say, Wrong, moved, rows_of, sorry
+from brookreach.coordination.server.proposals import (
+    InFlightProposal,
+    InFlightProposals,
+    Say,
+    Wrong,
+    moved,
+    rows_of,
+    sorry,
+)
 from brookreach.coordination.server.watches import Watches
 from brookreach.coordination.state_machine import sessions
-from brookreach.coordination.state_machine.machine import Machine
+from brookreach.coordination.state_machine.machine import StateMachine
 from brookreach.coordination.state_machine.sessions import ANSWERS, SEATS, SESSIONS
 
 
-class Lead(Term):
+class Leader(Term):
     """`keepers` are those that the file names: a seat is for one of them."""
 
     def __init__(
         self,
         now: float,
-        raft: Raft,
-        machine: Machine,
+        raft: RaftNode,
+        machine: StateMachine,
         watches: Watches,
         timing: Timing,
         keepers: Sequence[str],
@@ -41,7 +49,7 @@
         self.watches = watches
         self.keepers, self.say, self.sorry = keepers, say, partial(sorry, say)
         self.here: dict[str, int] = {}  # sessions by clients that joined on their present connection
-        self.flights = Flights()
+        self.flights = InFlightProposals()
         self.asked: list[tuple[str, messages.Body]] = []  # until the next round
         self.round, self.in_round = 0, list[tuple[str, messages.Body]]()
 
@@ -49,9 +57,9 @@
 
     def hear(self, now: float, source: str, body: messages.Body) -> None:
         match body:
-            case messages.Join(session=0) | messages.Leave() if self.open:
+            case messages.OpenSession(session=0) | messages.CloseSession() if self.open:
                 self._sure(now, source, body)
-            case messages.Ask() if self.open and self._is_next(source, body):
+            case messages.ProposeRequest() if self.open and self._is_next(source, body):
                 self._sure(now, source, body)
             case _ if len(self.asked) >= self.timing.most_queued:
                 self._busy(source, body)
@@ -72,23 +80,23 @@
 
     def _sure(self, now: float, source: str, body: messages.Body) -> None:
         match body:
-            case messages.Join():
+            case messages.OpenSession():
                 self._join(now, source, body)
-            case messages.Ask():
+            case messages.ProposeRequest():
                 self._ask(now, source, body)
-            case messages.Read():
+            case messages.ReadRequest():
                 self._read(source, body)
-            case messages.Leave(session=session):
-                ended = sessions.Ended(session, "left")
+            case messages.CloseSession(session=session):
+                ended = sessions.SessionEnded(session, "left")
                 if self.machine.holder(session) == source and self._propose(now, ended):
                     self.leases.gone(session)  # it lives no more
                     self.gone(source)
-            case messages.Renew(session=session) | messages.Watch(session=session):
+            case messages.KeepAlive(session=session) | messages.WatchRequest(session=session):
                 if not self._lives(now, source, session):
                     self._no_session(source, body, session)
-                elif isinstance(body, messages.Renew):
+                elif isinstance(body, messages.KeepAlive):
                     self.leases.renewed(now, session)
-                    self.say(source, messages.Renewed(body.seq, int(self.timing.lease_ms), self.clock.at(now)))
+                    self.say(source, messages.KeepAliveReply(body.seq, int(self.timing.lease_ms), self.clock.at(now)))
                 elif wrong := self.watches.watch(source, body.tables, body.since):
                     self.sorry(source, body, "refused", wrong)
                 else:
@@ -106,7 +114,7 @@
             [*self.here, *self.flights.sources(), *(source for source, _ in self.in_round + self.asked)]
         ):
             self.watches.gone(source)
-            self.say(source, messages.Sorry(0, "not leader", "no longer", leader, int(self.timing.beat_ms)))
+            self.say(source, messages.RequestRejected(0, "not leader", "no longer", leader, int(self.timing.beat_ms)))
 
     def _no_session(self, source: str, body: messages.Body, session: int) -> None:
         self.sorry(source, body, "no session", f"session {session} is none of {source}")
@@ -117,7 +125,7 @@
 
     # --- sessions ---
 
-    def _join(self, now: float, source: str, join: messages.Join) -> None:
+    def _join(self, now: float, source: str, join: messages.OpenSession) -> None:
         held, row = self.machine.session(source), self.machine.view.get(SESSIONS, source)
         if join.client != source:
             self.sorry(source, join, "refused", f"{source} may not join as {join.client}")
@@ -136,19 +144,19 @@
                 left_ms = self.leases.left_ms(now, held)
                 self.sorry(source, join, "busy", f"{source} has session {held} yet", "", left_ms + 1.0)
         else:
-            place = self._propose(now, sessions.Began(source, join.kind))
-            self._fly(source, join, place, Flying(source, held, 0))
+            place = self._propose(now, sessions.SessionStarted(source, join.kind))
+            self._fly(source, join, place, InFlightProposal(source, held, 0))
 
     def _lives(self, now: float, source: str, session: int) -> bool:
         return self.machine.holder(session) == source and not self.leases.over(now, session)
 
     def _joined(self, now: float, source: str, session: int) -> None:
         self.here[source] = session
-        self.say(source, messages.Joined(session, int(self.timing.lease_ms), self.clock.at(now)))
+        self.say(source, messages.SessionOpened(session, int(self.timing.lease_ms), self.clock.at(now)))
 
     # --- questions ---
 
-    def _is_next(self, source: str, ask: messages.Ask) -> bool:
+    def _is_next(self, source: str, ask: messages.ProposeRequest) -> bool:
         last = self.machine.view.get(ANSWERS, source)
         return (
             last is not None
@@ -157,7 +165,7 @@
             and ask.seq == last.seq + self.flights.of(ask.session) + 1
         )
 
-    def _ask(self, now: float, source: str, ask: messages.Ask) -> None:
+    def _ask(self, now: float, source: str, ask: messages.ProposeRequest) -> None:
         last = self.machine.view.get(ANSWERS, source)
         if last is None or last.session != ask.session:
             self._no_session(source, ask, ask.session)
@@ -166,7 +174,7 @@
         elif ask.piece == SEATS:
             self._seats(now, source, ask)
         elif ask.seq == last.seq and last.mark == sessions.mark(ask.piece, ask.version, ask.body):
-            self.say(source, messages.Done(ask.seq, last.index, last.ok, last.text))
+            self.say(source, messages.ProposeReply(ask.seq, last.index, last.ok, last.text))
         elif not self._is_next(source, ask):
             self.sorry(source, ask, "out of order", f"question {ask.seq} after {last.seq}")
         elif misfit := self.machine.misfit(ask.piece, ask.version, ask.body):
@@ -174,15 +182,15 @@
         else:
             kind = self.machine.view.get(SESSIONS, source).kind
             octets = sessions.asked(ask, self.clock.at(now), source, kind)
-            self._fly(source, ask, self.raft.propose(now, octets), Flying(source, ask.session, ask.seq))
+            self._fly(source, ask, self.raft.propose(now, octets), InFlightProposal(source, ask.session, ask.seq))
 
-    def _fly(self, source: str, body: messages.Body, place: int | None, one: Flying) -> None:
+    def _fly(self, source: str, body: messages.Body, place: int | None, one: InFlightProposal) -> None:
         if place is None:  # the log is full, or the lead is being handed over
             self._busy(source, body)
         else:
             self.flights.begin(place, one)
 
-    def _seats(self, now: float, source: str, ask: messages.Ask) -> None:
+    def _seats(self, now: float, source: str, ask: messages.ProposeRequest) -> None:
         """Beside a session's count of questions, since the machine knows of none: a session's last one. What
         is so already is answered by a record that changes nothing."""
         try:
@@ -192,10 +200,10 @@
         except Wrong as error:
             return self.sorry(source, ask, "refused", str(error))
         so_already, at_ms = set(seats) == set(self.raft.seats), self.clock.at(now)
-        place = self._propose(now, sessions.Passed()) if so_already else self.raft.change(now, seats, at_ms)
-        self._fly(source, ask, place, Flying(source, ask.session, ask.seq))
+        place = self._propose(now, sessions.TimePassed()) if so_already else self.raft.change(now, seats, at_ms)
+        self._fly(source, ask, place, InFlightProposal(source, ask.session, ask.seq))
 
-    def _read(self, source: str, read: messages.Read) -> None:
+    def _read(self, source: str, read: messages.ReadRequest) -> None:
         if self.machine.holder(self.here.get(source, 0)) != source:
             return self._no_session(source, read, 0)
         try:
@@ -203,11 +211,11 @@
         except Wrong as error:
             return self.sorry(source, read, "refused", str(error))
         for nth, part in enumerate(parts):
-            self.say(source, messages.Rows(read.seq, self.machine.applied, nth + 1 == len(parts), part))
+            self.say(source, messages.ReadReply(read.seq, self.machine.applied, nth + 1 == len(parts), part))
 
     # --- what was applied ---
 
-    def applied(self, now: float, entry: messages.Entry, done: Applied) -> None:
+    def applied(self, now: float, entry: messages.Entry, done: AppliedCommand) -> None:
         if not self.open and entry.term == self.term:
             self._open(now)
         if entry.index == self.passing:
@@ -224,8 +232,8 @@
             if waits and done.ok:
                 self._joined(now, one.source, done.session)
             elif waits:
-                self.say(one.source, messages.Sorry(0, done.why or "refused", done.text, "", int(lease_ms)))
+                self.say(one.source, messages.RequestRejected(0, done.why or "refused", done.text, "", int(lease_ms)))
         elif done.why:
-            self.say(one.source, messages.Sorry(one.seq, done.why, done.text, "", int(self.timing.beat_ms)))
+            self.say(one.source, messages.RequestRejected(one.seq, done.why, done.text, "", int(self.timing.beat_ms)))
         else:
-            self.say(one.source, messages.Done(one.seq, done.index, done.ok, done.text))
+            self.say(one.source, messages.ProposeReply(one.seq, done.index, done.ok, done.text))
--- a/brookreach/coordination/server/leader_term.py
+++ b/brookreach/coordination/server/leader_term.py
@@ -6,21 +6,21 @@
 from __future__ import annotations
 
 from brookreach.coordination.ports import Timing
-from brookreach.coordination.raft.node import Raft
+from brookreach.coordination.raft.node import RaftNode
 from brookreach.coordination.server.agreed_clock import AgreedTime
 from brookreach.coordination.state_machine import sessions
-from brookreach.coordination.state_machine.machine import Machine
+from brookreach.coordination.state_machine.machine import StateMachine
 
 
 class Term:
     """One term; `open` once all entries of earlier terms are applied."""
 
-    def __init__(self, now: float, raft: Raft, machine: Machine, timing: Timing) -> None:
+    def __init__(self, now: float, raft: RaftNode, machine: StateMachine, timing: Timing) -> None:
         self.raft, self.machine, self.timing = raft, machine, timing
         self.term = raft.term
         self.clock = AgreedTime(now, raft.wall_ms_low_median)
         self.open = False
-        self.leases = sessions.Leases(timing)
+        self.leases = sessions.LeaseBook(timing)
         self.passing = 0  # where a Passed stands that is not yet applied
         self.again_at = now  # no Passed before
 
@@ -33,18 +33,20 @@
         if not self.open:
             return
         for session in self.leases.ended(now):
-            self._propose(now, sessions.Ended(session, "its lease ran out"))  # else it is named again
-        due = self.machine.due_ms()
+            self._propose(now, sessions.SessionEnded(session, "its lease ran out"))  # else it is named again
+        due = self.machine.next_timer_ms()
         if due is not None and not self.passing and now >= self.again_at and due <= self.clock.at(now):
-            self.passing = self._propose(now, sessions.Passed()) or 0
+            self.passing = self._propose(now, sessions.TimePassed()) or 0
             self.again_at = now if self.passing else now + self.timing.beat_ms
 
     def wake_ms(self) -> float | None:
         if not self.open:
             return None
-        due = None if self.passing else self.machine.due_ms()
+        due = None if self.passing else self.machine.next_timer_ms()
         times = (self.leases.wake_ms(), None if due is None else max(self.again_at, self.clock.when(due)))
         return min((one for one in times if one is not None), default=None)
 
-    def _propose(self, now: float, order: sessions.Began | sessions.Ended | sessions.Passed) -> int | None:
+    def _propose(
+        self, now: float, order: sessions.SessionStarted | sessions.SessionEnded | sessions.TimePassed
+    ) -> int | None:
         return self.raft.propose(now, sessions.ordered(order, self.clock.at(now)))
--- a/brookreach/coordination/server/process.py
+++ b/brookreach/coordination/server/process.py
@@ -20,12 +20,12 @@
 
 from brookreach.coordination import configuration
 from brookreach.coordination.client.connection import now_ms
-from brookreach.coordination.ports import DiskError, Ready
+from brookreach.coordination.ports import Ready, StorageError
 from brookreach.coordination.protocol.stream import BOUNDS
-from brookreach.coordination.server.replica import Keeper
-from brookreach.coordination.server.transport import Link, Say, first
-from brookreach.coordination.state_machine.application import Piece
-from brookreach.coordination.state_machine.machine import Halted
+from brookreach.coordination.server.replica import Replica
+from brookreach.coordination.server.transport import Say, Transport, first
+from brookreach.coordination.state_machine.application import Application
+from brookreach.coordination.state_machine.snapshots import ReplicaHaltedError
 from brookreach.coordination.storage.store import Store
 from brookreach.files import BadFile
 
@@ -36,7 +36,7 @@
 BAD_FILE, ENDED_ITSELF = 2, 3  # exit codes
 
 
-def disk_of(path: Path, told: configuration.FleetFile, me: str) -> Store:
+def disk_of(path: Path, told: configuration.ClusterConfiguration, me: str) -> Store:
     """Raises BadFile for a keeper that the file does not name, DiskError for what can't be opened."""
     part = next((one for one in told.keeper if one.name == me), None)
     if part is None:
@@ -45,27 +45,27 @@
     try:
         folder.mkdir(mode=0o700, parents=True, exist_ok=True)
     except OSError as error:
-        raise DiskError(f"{folder}: {error.strerror}") from None
+        raise StorageError(f"{folder}: {error.strerror}") from None
     return Store(folder / DISK, told.group.name, me)
 
 
 class Process:
     """Raises BadFile and DiskError where it can't begin."""
 
-    def __init__(self, path: Path, me: str, pieces: Sequence[Piece], say: Say):
+    def __init__(self, path: Path, me: str, pieces: Sequence[Application], say: Say):
         told = configuration.read(path)
         key = configuration.read_key(path, told)
         self.me, self.say = me, say
         self.disk = disk_of(path, told, me)
         kept = self.disk.load()
         if not kept.seats:
-            raise DiskError(
+            raise StorageError(
                 f"{self.disk.path}: holds no keeper: brookreach fleet found (a new group) or "
                 "brookreach fleet join (a new keeper of a group), once"
             )
         chance, addresses = random.Random(), told.addresses()
-        self.keeper = Keeper(me, pieces, kept, told.group.name, told.times(), chance, tuple(addresses))
-        self.link = Link(me, told.group.name, key, addresses, say, chance)
+        self.keeper = Replica(me, pieces, kept, told.group.name, told.times(), chance, tuple(addresses))
+        self.link = Transport(me, told.group.name, key, addresses, say, chance)
         self.stood = ("", False)  # leader and whether it is this one, as it was logged last
         self.code = 0
 
@@ -108,7 +108,7 @@
                 wait_s = min(MOST_WAIT_S, (self.keeper.wake_ms() - now_ms()) / 1000.0)
                 await self.link.inbox.wait(wait_s)
                 self._turn()
-        except (DiskError, Halted) as error:
+        except (StorageError, ReplicaHaltedError) as error:
             self.say("keeper", f"ends: {error}")
             self.code = ENDED_ITSELF
             scope.cancel()
@@ -152,14 +152,14 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (most, hard))
 
 
-def keep(path: Path, me: str, pieces: Sequence[Piece], say: Say) -> int:
+def keep(path: Path, me: str, pieces: Sequence[Application], say: Say) -> int:
     """One keeper to its end; its exit code."""
     try:
         process = Process(path, me, pieces, say)
     except BadFile as error:
         say("keeper", f"can't begin: {error}")
         return BAD_FILE
-    except (DiskError, Halted) as error:
+    except (StorageError, ReplicaHaltedError) as error:
         say("keeper", f"ends: {error}")
         return ENDED_ITSELF
     room_for_clients()
--- a/brookreach/coordination/server/proposals.py
+++ b/brookreach/coordination/server/proposals.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from brookreach.coordination.protocol import messages
-from brookreach.coordination.state_machine.application import Order
+from brookreach.coordination.state_machine.application import Command
 from brookreach.coordination.state_machine.sessions import PRIVATE
 from brookreach.coordination.state_machine.tables import Tables, weight
 
@@ -21,28 +21,28 @@
 Say = Callable[[str, messages.Body], None]
 
 
-class MoveSeat(Order, frozen=True):
+class ChangeMembership(Command, frozen=True, tag="MoveSeat"):
     """An operator's question of piece `seats`: what is so already is agreed, too."""
 
     way: Literal["add", "remove"]
     name: messages.Name
 
 
-_moves = msgspec.msgpack.Decoder(MoveSeat, strict=True)
+_moves = msgspec.msgpack.Decoder(ChangeMembership, strict=True)
 
 
 def sorry(
     say: Say,
     source: str,
     body: messages.Body,
-    why: messages.Why,
+    why: messages.RejectionReason,
     text: str,
     leader: str = "",
     come_back_ms: float = 0.0,
 ) -> None:
     """To who asked that; a Leave has no answer."""
-    if not isinstance(body, messages.Leave):
-        say(source, messages.Sorry(getattr(body, "seq", 0), why, text[:MOST_TEXT], leader, int(come_back_ms)))
+    if not isinstance(body, messages.CloseSession):
+        say(source, messages.RequestRejected(getattr(body, "seq", 0), why, text[:MOST_TEXT], leader, int(come_back_ms)))
 
 
 class Wrong(Exception):
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Flying:
+class InFlightProposal:
     """Who asked for the record at a place that is not yet applied. `seq` 0: a Join; then `session` is the one
     that ends by it."""
 
@@ -59,9 +59,9 @@
     seq: int
 
 
-class Flights:
+class InFlightProposals:
     def __init__(self) -> None:
-        self._places: dict[int, Flying] = {}
+        self._places: dict[int, InFlightProposal] = {}
         self._numbers: dict[int, set[int]] = {}  # by session
         self._joining: dict[str, bool] = {}  # whether its connection still stands
 
@@ -71,14 +71,14 @@
     def sources(self) -> list[str]:
         return [one.source for one in self._places.values()]
 
-    def begin(self, place: int, one: Flying) -> None:
+    def begin(self, place: int, one: InFlightProposal) -> None:
         self._places[place] = one
         if one.seq:
             self._numbers.setdefault(one.session, set()).add(one.seq)
         else:
             self._joining[one.source] = True
 
-    def end(self, place: int) -> Flying | None:
+    def end(self, place: int) -> InFlightProposal | None:
         one = self._places.pop(place, None)
         if one is not None and one.seq:
             numbers = self._numbers[one.session]
@@ -109,18 +109,18 @@
         return len(self._numbers.get(session, ()))
 
 
-def rows_of(view: Tables, read: messages.Read) -> list[tuple[messages.Change, ...]]:
+def rows_of(view: Tables, read: messages.ReadRequest) -> list[tuple[messages.RowChange, ...]]:
     """What is read, in parts that a message carries, one at least; raises Wrong."""
     known = [name for name in view.types if name not in PRIVATE]
     if read.table not in known:
         raise Wrong(f"no table {read.table!r}; there are {', '.join(known)}")
-    parts: list[list[messages.Change]] = [[]]
+    parts: list[list[messages.RowChange]] = [[]]
     octets = 0
     for change in view.changes(read.table):
         if not change.key.startswith(read.prefix):
             continue
         size = weight(change)
-        if parts[-1] and (octets + size > MOST_PART or len(parts[-1]) == messages.MOST_ROWS):
+        if parts[-1] and (octets + size > MOST_PART or len(parts[-1]) == messages.MAX_ROWS):
             parts.append([])
             octets = 0
         parts[-1].append(change)
@@ -142,6 +142,6 @@
         return left
     if name not in keepers:
         raise Wrong(f"{name} is no [[keeper]] in the leader's file; there are {', '.join(keepers)}")
-    if name not in seats and len(seats) == messages.MOST_SEATS:
+    if name not in seats and len(seats) == messages.MAX_MEMBERS:
         raise Wrong(f"{len(seats)} seats; no more are allowed")
     return tuple(seats) if name in seats else (*seats, name)
--- a/brookreach/coordination/server/replica.py
+++ b/brookreach/coordination/server/replica.py
@@ -2,7 +2,7 @@
 
 It owns the order in which they are asked, and who may be answered: clients by the leader alone. It must
 never read a clock, a disk or a socket, and never say what is not yet on disk: whoever runs it saves, sends,
-then calls `taken`. What raises here (`Halted`) ends the keeper.
+then calls `taken`. What raises here (`ReplicaHaltedError`) ends the keeper.
 """
 
 from __future__ import annotations
@@ -12,18 +12,18 @@
 from collections import Counter
 from collections.abc import Collection, Sequence
 
-from brookreach.coordination.ports import Kept, Ready, Timing
+from brookreach.coordination.ports import Ready, StoredState, Timing
 from brookreach.coordination.protocol import messages
-from brookreach.coordination.raft.node import Raft
-from brookreach.coordination.server.leader import Lead, sorry
+from brookreach.coordination.raft.node import RaftNode
+from brookreach.coordination.server.leader import Leader, sorry
 from brookreach.coordination.server.watches import Watches
-from brookreach.coordination.state_machine.application import Piece
-from brookreach.coordination.state_machine.machine import Machine
+from brookreach.coordination.state_machine.application import Application
+from brookreach.coordination.state_machine.machine import StateMachine
 
 MOST_TOLD = 512 << 10  # bytes of changes handed out at a time, over all clients: they come by turns
 
 
-class Keeper:
+class Replica:
     """`keepers` are those that the group's file names; a new disk must be founded with them.
 
     `held` names clients that have not yet taken what they were told; whoever runs it sets that.
@@ -32,18 +32,18 @@
     def __init__(
         self,
         me: str,
-        pieces: Sequence[Piece],
-        kept: Kept,
+        pieces: Sequence[Application],
+        kept: StoredState,
         group: str,
         timing: Timing,
         chance: random.Random,
         keepers: Sequence[str] = (),
     ):
         self.me, self.group, self.timing, self.keepers = me, group, timing, tuple(keepers)
-        self.raft = Raft(me, kept, self.keepers, timing, chance)
-        self.machine = Machine(pieces)
+        self.raft = RaftNode(me, kept, self.keepers, timing, chance)
+        self.machine = StateMachine(pieces)
         self.watches = Watches(self.machine)
-        self.lead: Lead | None = None
+        self.lead: Leader | None = None
         self.now = -math.inf
         self.out: list[tuple[str, messages.Body]] = []
         self.held: Collection[str] = ()
@@ -56,10 +56,10 @@
     def hear(self, now: float, wall_ms: int, source: str, body: messages.Body) -> None:
         """A frame that was opened: `source` is whose seal and connection it came with."""
         self._at(now, wall_ms)
-        if isinstance(body, messages.KEEPERS):
+        if isinstance(body, messages.REPLICA_MESSAGES):
             self.raft.hear(now, source, body)
             self._led()
-        elif not isinstance(body, messages.ASKED):
+        elif not isinstance(body, messages.CLIENT_MESSAGES):
             self.refusals["not its to say"] += 1
         elif self.ending:
             sorry(self._say, source, body, "ending", f"{self.me} ends", self._leader())
@@ -98,7 +98,7 @@
         self.now, self.ending = max(self.now, now), True
         if self.lead is not None:
             for source in self.lead.here:
-                self._say(source, messages.Sorry(0, "ending", f"{self.me} ends", "", 0))
+                self._say(source, messages.RequestRejected(0, "ending", f"{self.me} ends", "", 0))
         return self.raft.hand_over(now)
 
     @property
@@ -158,4 +158,4 @@
             self.lead.over(self._leader())
             self.lead = None
         if raft.leads and self.lead is None:
-            self.lead = Lead(self.now, raft, self.machine, self.watches, self.timing, self.keepers, self._say)
+            self.lead = Leader(self.now, raft, self.machine, self.watches, self.timing, self.keepers, self._say)
--- a/brookreach/coordination/server/transport.py
+++ b/brookreach/coordination/server/transport.py
@@ -20,12 +20,13 @@
 from brookreach.coordination.protocol import frames as seal
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.protocol.stream import BOUNDS, LOST, Bounds, Inbox, Line, TooLong, frames
+from brookreach.coordination.protocol.tags import wire_name
 from brookreach.net.backoff import Backoff
 
 Say = Callable[[str, str], object]  # a line's kind and its words
 
 
-class Link:
+class Transport:
     """`left` gets the name of each client whose connection ended."""
 
     def __init__(
@@ -50,7 +51,7 @@
         line = self.lines.get(target)
         if line is None or line.cut:
             return
-        if not line.put(seal.sealed(self.key, self.group, self.me, target, body)):
+        if not line.put(seal.seal_frame(self.key, self.group, self.me, target, body)):
             self.say("link", f"{target} takes nothing, {line.held} bytes wait for it: cut off")
             line.end()
 
@@ -104,7 +105,7 @@
             self.say("link", f"{self.strangers} connections have said nothing yet: one more is closed")
             await anyio.aclose_forcefully(stream)
             return
-        guest = Guest(self, stream)
+        guest = ClientSession(self, stream)
         try:
             async with stream, anyio.create_task_group() as tasks:
                 await guest.read(tasks)
@@ -114,16 +115,16 @@
         finally:
             guest.ended()
 
-    def refuse(self, source: str, error: messages.Refused) -> None:
+    def refuse(self, source: str, error: messages.InvalidFrameError) -> None:
         self.refused[source, error.name] += 1
         if self.refused[source, error.name] == 1:  # from then on it is counted
             self.say("refused", f"from {source}: {error}")
 
 
-class Guest:
+class ClientSession:
     """One connection that came: a stranger until its first frame, then a keeper's or a client's."""
 
-    def __init__(self, link: Link, stream: anyio.abc.ByteStream):
+    def __init__(self, link: Transport, stream: anyio.abc.ByteStream):
         self.link, self.stream, self.name = link, stream, ""
         self.line: Line | None = None
         link.strangers += 1
@@ -133,11 +134,11 @@
         link = self.link
         with anyio.move_on_after(link.bounds.hello_s) as hello:
             try:
-                async for octets in frames(self.stream, messages.MOST_FRAME):
+                async for octets in frames(self.stream, messages.MAX_FRAME_BYTES):
                     try:
-                        frame = seal.opened(link.key, link.group, link.me, octets)
+                        frame = seal.open_frame(link.key, link.group, link.me, octets)
                         self._may(frame, len(octets))
-                    except messages.Refused as error:
+                    except messages.InvalidFrameError as error:
                         link.refuse(self.name or "a stranger", error)
                         if error.name == "bad seal":
                             return
@@ -149,16 +150,18 @@
                     queue = link.inbox.keepers if self.name in link.keepers else link.inbox.clients
                     await link.inbox.put(queue, self.name, frame.body)
             except TooLong as error:
-                link.refuse(self.name or "a stranger", messages.Refused("too long", str(error)))
+                link.refuse(self.name or "a stranger", messages.InvalidFrameError("too long", str(error)))
 
     def _may(self, frame: seal.Frame, size: int) -> None:
-        """One name a connection, and only what its kind may say; raises Refused."""
-        may = messages.KEEPERS if frame.source in self.link.keepers else messages.ASKED
+        """One name a connection, and only what its kind may say; raises InvalidFrameError."""
+        may = messages.REPLICA_MESSAGES if frame.source in self.link.keepers else messages.CLIENT_MESSAGES
         other = frame.source == self.link.me or self.name not in ("", frame.source)
         if other or not isinstance(frame.body, may):
-            raise messages.Refused("not its to say", f"{frame.source}: {type(frame.body).__name__}")
-        if may is messages.ASKED and size > self.link.bounds.asked:
-            raise messages.Refused("too long", f"{size} bytes; {self.link.bounds.asked} are allowed to a client")
+            raise messages.InvalidFrameError("not its to say", f"{frame.source}: {wire_name(frame.body)}")
+        if may is messages.CLIENT_MESSAGES and size > self.link.bounds.asked:
+            raise messages.InvalidFrameError(
+                "too long", f"{size} bytes; {self.link.bounds.asked} are allowed to a client"
+            )
 
     def _named(self, name: str, tasks: anyio.abc.TaskGroup) -> bool:
         """False: there is no more room for clients. Keepers always find some."""
--- a/brookreach/coordination/server/watches.py
+++ b/brookreach/coordination/server/watches.py
@@ -10,14 +10,14 @@
 from collections.abc import Collection
 from dataclasses import dataclass
 
-from brookreach.coordination.ports import Applied
+from brookreach.coordination.ports import AppliedCommand
 from brookreach.coordination.protocol import messages
-from brookreach.coordination.server.change_feed import MARKS, Copy, Found, Names, Ring, marked
+from brookreach.coordination.server.change_feed import MARKS, ChangeFeed, Copy, Found, Names, marked
 from brookreach.coordination.state_machine import sessions
-from brookreach.coordination.state_machine.machine import Machine
+from brookreach.coordination.state_machine.machine import StateMachine
 
 MOST_RING = 16 << 20  # bytes of changes held for all
-MOST_BYTES = messages.MOST_FRAME // 2 - (16 << 10)  # of one message's rows
+MOST_BYTES = messages.MAX_FRAME_BYTES // 2 - (16 << 10)  # of one message's rows
 MOST_BEHIND = 4096  # entries that change nothing for a client, before it's told how far the log is
 
 
@@ -35,8 +35,8 @@
 
 
 class Watches:
-    def __init__(self, machine: Machine, most_ring: int = MOST_RING, most_bytes: int = MOST_BYTES):
-        self._machine, self._ring = machine, Ring(machine, most_ring, most_bytes)
+    def __init__(self, machine: StateMachine, most_ring: int = MOST_RING, most_bytes: int = MOST_BYTES):
+        self._machine, self._ring = machine, ChangeFeed(machine, most_ring, most_bytes)
         self._clients: dict[str, Watcher] = {}
         self._groups: dict[Names, dict[str, None]] = {}
         self._pending: dict[str, None] = {}  # in the order of their turns
@@ -52,8 +52,8 @@
 
     # --- what the machine did ---
 
-    def took(self, applied: Applied) -> None:
-        """After each `Machine.apply`, before the next."""
+    def took(self, applied: AppliedCommand) -> None:
+        """After each `StateMachine.apply`, before the next."""
         index = self._machine.applied
         if index != self._ring.index + 1:
             raise ValueError(f"watches were told of place {self._ring.index}, then of {index}")
@@ -69,7 +69,7 @@
                         self._due(client, index - 1)
 
     def restored(self) -> None:
-        """After `Machine.restore`: all are told the whole."""
+        """After `StateMachine.restore`: all are told the whole."""
         self._ring.restored()
         for client, watcher in self._clients.items():
             watcher.whole, watcher.copy = True, None
@@ -156,7 +156,7 @@
             watcher.copy = None
             watcher.told = watcher.seen = watcher.least = copy.index
         rows, octets = copy.parts[nth]
-        return messages.Whole(copy.index, nth, last, rows), 64 + octets
+        return messages.WatchSnapshot(copy.index, nth, last, rows), 64 + octets
 
     def _changes(self, watcher: Watcher, found: Found) -> tuple[messages.Body | None, int]:
         since, fresh = watcher.told, watcher.fresh
@@ -165,4 +165,4 @@
         if since == found.upto and not fresh:
             return None, 0
         marks = marked(watcher.names if fresh else watcher.names[:1], found.total)
-        return messages.Changes(since, found.upto, marks + found.rows), 64 + found.octets
+        return messages.WatchUpdate(since, found.upto, marks + found.rows), 64 + found.octets
--- a/brookreach/coordination/state_machine/application.py
+++ b/brookreach/coordination/state_machine/application.py
@@ -18,16 +18,16 @@
     """One row of a table. Fields are whole numbers, text, booleans and tuples of these: never a float."""
 
 
-class Order(msgspec.Struct, frozen=True, forbid_unknown_fields=True, tag=True):
+class Command(msgspec.Struct, frozen=True, forbid_unknown_fields=True, tag=True):
     """One record of a piece: what somebody asks the whole fleet to take as fact."""
 
 
-class Refusal(Exception):
+class CommandRejectedError(Exception):
     """Raised by `apply`: the state does not allow this record. Its text is for the operator who asked."""
 
 
 @dataclass(frozen=True, slots=True)
-class Put:
+class RowUpdate:
     """A row as it is to be; None removes it."""
 
     table: str
@@ -40,9 +40,9 @@
     """Where a record stands: its place in the log (a fencing token), the agreed time, who asked."""
 
     index: int
-    at_ms: int
-    by: str  # the client's name; "" for what the group does of itself
-    kind: str  # marshal, agent, operator or ""
+    now_ms: int
+    client: str  # the client's name; "" for what the group does of itself
+    client_kind: str  # marshal, agent, operator or ""
     session: int
 
 
@@ -56,7 +56,7 @@
     def count(self, table: str) -> int: ...
 
 
-class Piece(Protocol):
+class Application(Protocol):
     """`tables` names each table's type of row; a piece changes no table but its own and those of the pieces
     whose decisions it calls (power before outages before gangs).
     """
@@ -66,25 +66,25 @@
     orders: Any  # the union of its Orders
     tables: Mapping[str, type[Row]]
 
-    def apply(self, view: View, order: Any, context: Context) -> list[Put]:
-        """What this record changes; raises Refusal."""
+    def apply(self, view: View, order: Any, context: Context) -> list[RowUpdate]:
+        """What this record changes; raises CommandRejectedError."""
         ...
 
-    def due_ms(self, view: View) -> int | None:
+    def next_timer_ms(self, view: View) -> int | None:
         """When time alone next changes something; None: never."""
         ...
 
-    def passed(self, view: View, context: Context) -> list[Put]:
-        """What has changed by time alone until `context.at_ms`."""
+    def advance_time(self, view: View, context: Context) -> list[RowUpdate]:
+        """What has changed by time alone until `context.now_ms`."""
         ...
 
-    def ended(self, view: View, context: Context) -> list[Put]:
-        """What changes as the session `context.session` of `context.by` ends."""
+    def end_session(self, view: View, context: Context) -> list[RowUpdate]:
+        """What changes as the session `context.session` of `context.client` ends."""
         ...
 
 
 @dataclass
-class Draft:
+class StagedChanges:
     """A view with changes of one record laid over it, for decisions made of several steps."""
 
     under: View
@@ -93,7 +93,7 @@
     def put(self, table: str, key: str, row: Row | None) -> None:
         self.over[table, key] = row
 
-    def take(self, puts: Iterable[Put]) -> None:
+    def take(self, puts: Iterable[RowUpdate]) -> None:
         for one in puts:
             self.put(one.table, one.key, one.row)
 
@@ -110,11 +110,11 @@
     def count(self, table: str) -> int:
         return sum(1 for _ in self.rows(table))
 
-    def puts(self) -> list[Put]:
-        return [Put(table, key, row) for (table, key), row in self.over.items()]
+    def updates(self) -> list[RowUpdate]:
+        return [RowUpdate(table, key, row) for (table, key), row in self.over.items()]
 
 
-class Plain:
+class InMemoryView:
     """A view of plain tables, for tests and models; the keeper's own is `machine.Tables`."""
 
     def __init__(self) -> None:
@@ -130,7 +130,7 @@
     def count(self, table: str) -> int:
         return len(self.tables.get(table, {}))
 
-    def take(self, puts: Iterable[Put]) -> None:
+    def take(self, puts: Iterable[RowUpdate]) -> None:
         for one in puts:
             held = self.tables.setdefault(one.table, {})
             if one.row is None:
--- a/brookreach/coordination/state_machine/machine.py
+++ b/brookreach/coordination/state_machine/machine.py
@@ -12,38 +12,45 @@
 
 import msgspec
 
-from brookreach.coordination.ports import Applied, Stamped
+from brookreach.coordination.ports import AppliedCommand, LogRecord
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.state_machine import sessions, snapshots
-from brookreach.coordination.state_machine.application import Context, Draft, Piece, Put, Refusal, View
+from brookreach.coordination.state_machine.application import (
+    Application,
+    CommandRejectedError,
+    Context,
+    RowUpdate,
+    StagedChanges,
+    View,
+)
 from brookreach.coordination.state_machine.sessions import (
     ANSWERS,
-    PIECE,
+    APPLICATION,
     SEATS,
     SESSIONS,
     AnswerRow,
-    Began,
-    Passed,
     SessionRow,
+    SessionStarted,
+    TimePassed,
 )
-from brookreach.coordination.state_machine.snapshots import Halted
-from brookreach.coordination.state_machine.tables import Misfit, Tables, TooLarge
+from brookreach.coordination.state_machine.snapshots import ReplicaHaltedError
+from brookreach.coordination.state_machine.tables import InvalidRowError, RowTooLargeError, Tables
 
 MOST_TEXT = 400  # as words.Text
-Made = list[tuple[Any, messages.Change]]
+Made = list[tuple[Any, messages.RowChange]]
 
-_stamped = msgspec.msgpack.Decoder(Stamped, strict=True)
+_stamped = msgspec.msgpack.Decoder(LogRecord, strict=True)
 
 
-class Machine:
+class StateMachine:
     """Pieces stand in the order in which they may write each other's tables: a later one those before it."""
 
-    def __init__(self, pieces: Sequence[Piece]):
+    def __init__(self, pieces: Sequence[Application]):
         self.applied, self.at_ms = 0, 0
-        self._pieces: dict[str, Piece] = {}
+        self._pieces: dict[str, Application] = {}
         self._may: dict[str, frozenset[str]] = {}
-        self._readers = {PIECE: msgspec.msgpack.Decoder(sessions.ORDERS, strict=True)}
-        self._versions = {PIECE: sessions.VERSION}
+        self._readers = {APPLICATION: msgspec.msgpack.Decoder(sessions.COMMANDS, strict=True)}
+        self._versions = {APPLICATION: sessions.VERSION}
         types = dict(sessions.TABLES)
         for piece in pieces:
             if piece.name in (*self._versions, SEATS):
@@ -61,9 +68,9 @@
 
     # --- what a keeper asks ---
 
-    def misfit(self, piece: str, version: int, body: bytes) -> tuple[messages.Why, str] | None:
+    def misfit(self, piece: str, version: int, body: bytes) -> tuple[messages.RejectionReason, str] | None:
         """Why a client's record must not get into the log: there it would halt every keeper."""
-        if piece in (PIECE, SEATS):
+        if piece in (APPLICATION, SEATS):
             return "refused", f"records of {piece} are the group's own"
         if piece not in self._pieces:
             return "too new", f"no piece {piece}; known are {', '.join(self._pieces)}"
@@ -71,8 +78,8 @@
             return "too new", f"version {version} of piece {piece}; up to {self._versions[piece]} is read"
         if version < 1:
             return "refused", f"version {version} of piece {piece}; versions begin at 1"
-        if len(body) > messages.MOST_RECORD - sessions.SPARE:
-            return "refused", f"{len(body)} bytes; {messages.MOST_RECORD - sessions.SPARE} are allowed"
+        if len(body) > messages.MAX_COMMAND_BYTES - sessions.SPARE:
+            return "refused", f"{len(body)} bytes; {messages.MAX_COMMAND_BYTES - sessions.SPARE} are allowed"
         try:
             self._readers[piece].decode(body)
         except (msgspec.DecodeError, RecursionError) as error:
@@ -89,15 +96,15 @@
     def sessions(self) -> tuple[int, ...]:
         return tuple(sorted(self._holders))
 
-    def due_ms(self) -> int | None:
+    def next_timer_ms(self) -> int | None:
         """When time alone next changes something: a Passed is to be proposed then, one at a time."""
         if self._due is None:
             times = []
             for piece in self._pieces.values():
                 try:
-                    times.append(piece.due_ms(self.view))
+                    times.append(piece.next_timer_ms(self.view))
                 except Exception as error:
-                    raise Halted(f"piece {piece.name} failed at place {self.applied}: {error!r}") from error
+                    raise ReplicaHaltedError(f"piece {piece.name} failed at place {self.applied}: {error!r}") from error
             self._due = (min((one for one in times if one is not None), default=None),)
         return self._due[0]
 
@@ -105,97 +112,97 @@
         return snapshots.packed(self.applied, self.at_ms, self._versions, self.view)
 
     def restore(self, octets: bytes) -> None:
-        """The state of another keeper, or of this one before it ended. On Halted nothing has changed."""
+        """The state of another keeper, or of this one before it ended. On ReplicaHaltedError nothing has changed."""
         into = Tables(self.view.types)
         applied, at_ms = snapshots.unpacked(octets, self._versions, into)
         for client, row in into.rows(SESSIONS):
             answer = into.get(ANSWERS, client)
             if answer is None or answer.session != row.session:
-                raise Halted(f"a snapshot of place {applied}: session {row.session} has no answers")
+                raise ReplicaHaltedError(f"a snapshot of place {applied}: session {row.session} has no answers")
         self.view.become(into)
         self.applied, self.at_ms, self._due = applied, at_ms, None
         self._holders = {row.session: client for client, row in into.rows(SESSIONS)}
 
     # --- the log ---
 
-    def apply(self, entry: messages.Entry) -> Applied:
-        """`Applied.index`: where the question took effect; for one asked again, where its first copy did."""
+    def apply(self, entry: messages.Entry) -> AppliedCommand:
+        """`AppliedCommand.index`: where the question took effect; for one asked again, where its first copy did."""
         if entry.index != self.applied + 1:
-            raise Halted(f"place {entry.index} of the log follows {self.applied}")
+            raise ReplicaHaltedError(f"place {entry.index} of the log follows {self.applied}")
         if not entry.octets:  # a leader's term begins
             self.applied = entry.index
-            return Applied(entry.index, 0, 0, True, "", ())
+            return AppliedCommand(entry.index, 0, 0, True, "", ())
         try:
             stamped = _stamped.decode(entry.octets)
         except (msgspec.DecodeError, RecursionError) as error:
-            raise Halted(f"record {entry.index} can't be read: {error}") from None
+            raise ReplicaHaltedError(f"record {entry.index} can't be read: {error}") from None
         at_ms = max(self.at_ms, stamped.at_ms)
         done = self._taken(entry.index, at_ms, stamped)
         self.applied, self.at_ms = entry.index, at_ms
         return done
 
-    def _taken(self, index: int, at_ms: int, stamped: Stamped) -> Applied:
+    def _taken(self, index: int, at_ms: int, stamped: LogRecord) -> AppliedCommand:
         if stamped.piece == SEATS:
-            return Applied(index, 0, 0, True, "", ())
+            return AppliedCommand(index, 0, 0, True, "", ())
         order = self._order(index, stamped)
-        if stamped.piece == PIECE:
+        if stamped.piece == APPLICATION:
             if stamped.by:  # `misfit` should have kept it out of the log
-                text = f"{PIECE} is the group's own"
-                return Applied(index, stamped.session, stamped.seq, False, text, (), "refused")
+                text = f"{APPLICATION} is the group's own"
+                return AppliedCommand(index, stamped.session, stamped.seq, False, text, (), "refused")
             return self._ground(index, at_ms, order)
         if not stamped.by and not stamped.session:
             ok, text, made = self._asked(order, stamped.piece, Context(index, at_ms, "", "", 0))
-            return Applied(index, 0, stamped.seq, ok, text, self._lay(made))
+            return AppliedCommand(index, 0, stamped.seq, ok, text, self._lay(made))
         return self._of_session(index, at_ms, stamped, order)
 
-    def _order(self, index: int, stamped: Stamped) -> Any:
+    def _order(self, index: int, stamped: LogRecord) -> Any:
         name, version = stamped.piece, stamped.version
         if name not in self._versions:
-            raise Halted(f"record {index} is of piece {name!r}; known are {', '.join(self._versions)}")
+            raise ReplicaHaltedError(f"record {index} is of piece {name!r}; known are {', '.join(self._versions)}")
         if not 1 <= version <= self._versions[name]:
-            raise Halted(
+            raise ReplicaHaltedError(
                 f"record {index} of piece {name} has version {version}; 1 to {self._versions[name]} "
                 "are read here: another version of the program wrote it"
             )
         try:
             return self._readers[name].decode(stamped.body)
         except (msgspec.DecodeError, RecursionError) as error:
-            raise Halted(f"record {index} of piece {name}, version {version}, is none: {error}") from None
+            raise ReplicaHaltedError(f"record {index} of piece {name}, version {version}, is none: {error}") from None
 
-    def _of_session(self, index: int, at_ms: int, stamped: Stamped, order: Any) -> Applied:
+    def _of_session(self, index: int, at_ms: int, stamped: LogRecord, order: Any) -> AppliedCommand:
         """Each question of a session takes effect once, whatever came twice or late."""
         by, session, seq = stamped.by, stamped.session, stamped.seq
         row, last = self.view.get(SESSIONS, by), self.view.get(ANSWERS, by)
         if row is None or row.session != session:
             text = f"session {session} of {by} has ended"
-            return Applied(index, session, seq, False, text, (), "no session")
+            return AppliedCommand(index, session, seq, False, text, (), "no session")
         mark = sessions.mark(stamped.piece, stamped.version, stamped.body)
         if seq and seq == last.seq and mark == last.mark:
-            return Applied(last.index, session, seq, last.ok, last.text, ())
+            return AppliedCommand(last.index, session, seq, last.ok, last.text, ())
         if seq != last.seq + 1:
             text = f"question {seq} after {last.seq}" if seq != last.seq else f"another question {seq}"
-            return Applied(index, session, seq, False, text, (), "out of order")
+            return AppliedCommand(index, session, seq, False, text, (), "out of order")
         ok, text, made = self._asked(order, stamped.piece, Context(index, at_ms, by, row.kind, session))
-        answer = Put(ANSWERS, by, AnswerRow(session, seq, mark, index, ok, text))
-        return Applied(index, session, seq, ok, text, self._lay([*made, self.view.made(answer)]))
+        answer = RowUpdate(ANSWERS, by, AnswerRow(session, seq, mark, index, ok, text))
+        return AppliedCommand(index, session, seq, ok, text, self._lay([*made, self.view.made(answer)]))
 
     def _asked(self, order: Any, name: str, context: Context) -> tuple[bool, str, Made]:
         piece = self._pieces[name]
         try:
             return True, "", self._made(piece, piece.apply(self.view, order, context))
-        except (Refusal, TooLarge) as error:
+        except (CommandRejectedError, RowTooLargeError) as error:
             return False, str(error)[:MOST_TEXT], []
         except Exception as error:
-            raise Halted(f"record {context.index}: piece {name} failed on {order!r}: {error!r}") from error
+            raise ReplicaHaltedError(f"record {context.index}: piece {name} failed on {order!r}: {error!r}") from error
 
-    def _made(self, piece: Piece, puts: Iterable[Put]) -> Made:
+    def _made(self, piece: Application, puts: Iterable[RowUpdate]) -> Made:
         puts = list(puts)
         for one in puts:
             if one.table not in self._may[piece.name]:
-                raise Misfit(f"piece {piece.name} may not write table {one.table!r}")
+                raise InvalidRowError(f"piece {piece.name} may not write table {one.table!r}")
         return [self.view.made(one) for one in puts]
 
-    def _lay(self, made: Made) -> tuple[messages.Change, ...]:
+    def _lay(self, made: Made) -> tuple[messages.RowChange, ...]:
         changes = self.view.lay(made)
         if changes:
             self._due = None
@@ -203,50 +210,50 @@
 
     # --- the ground's own records ---
 
-    def _ground(self, index: int, at_ms: int, order: Any) -> Applied:
-        if isinstance(order, Began):
+    def _ground(self, index: int, at_ms: int, order: Any) -> AppliedCommand:
+        if isinstance(order, SessionStarted):
             return self._began(index, at_ms, order)
-        if isinstance(order, Passed):
+        if isinstance(order, TimePassed):
             nobody = Context(index, at_ms, "", "", 0)
-            made = self._each(index, lambda piece, view: piece.passed(view, nobody))
-            return Applied(index, 0, 0, True, "", self._lay(made))
+            made = self._each(index, lambda piece, view: piece.advance_time(view, nobody))
+            return AppliedCommand(index, 0, 0, True, "", self._lay(made))
         client = self.holder(order.session)
         if not client:
             text = f"session {order.session} has ended"
-            return Applied(index, order.session, 0, False, text, (), "no session")
+            return AppliedCommand(index, order.session, 0, False, text, (), "no session")
         made = self._over(index, at_ms, client)
-        gone = [self.view.made(Put(table, client, None)) for table in sessions.TABLES]
+        gone = [self.view.made(RowUpdate(table, client, None)) for table in sessions.TABLES]
         del self._holders[order.session]
-        return Applied(index, order.session, 0, True, order.why, self._lay(made + gone))
+        return AppliedCommand(index, order.session, 0, True, order.why, self._lay(made + gone))
 
-    def _began(self, index: int, at_ms: int, order: Began) -> Applied:
+    def _began(self, index: int, at_ms: int, order: SessionStarted) -> AppliedCommand:
         client, older = order.client, self.session(order.client)
         if not older and self.view.count(SESSIONS) >= sessions.MOST_SESSIONS:
             text = f"{sessions.MOST_SESSIONS} sessions, no more are allowed"
-            return Applied(index, 0, 0, False, text, (), "busy")
+            return AppliedCommand(index, 0, 0, False, text, (), "busy")
         made = self._over(index, at_ms, client) if older else []
         rows = (
-            Put(SESSIONS, client, SessionRow(index, order.kind, at_ms)),
-            Put(ANSWERS, client, AnswerRow(index, 0, "", 0, True, "")),
+            RowUpdate(SESSIONS, client, SessionRow(index, order.kind, at_ms)),
+            RowUpdate(ANSWERS, client, AnswerRow(index, 0, "", 0, True, "")),
         )
         made += [self.view.made(one) for one in rows]
         self._holders.pop(older, None)
         self._holders[index] = client
-        return Applied(index, index, 0, True, "", self._lay(made))
+        return AppliedCommand(index, index, 0, True, "", self._lay(made))
 
     def _over(self, index: int, at_ms: int, client: str) -> Made:
         row = self.view.get(SESSIONS, client)
         context = Context(index, at_ms, client, row.kind, row.session)
-        return self._each(index, lambda piece, view: piece.ended(view, context))
+        return self._each(index, lambda piece, view: piece.end_session(view, context))
 
-    def _each(self, index: int, call: Callable[[Piece, View], list[Put]]) -> Made:
+    def _each(self, index: int, call: Callable[[Application, View], list[RowUpdate]]) -> Made:
         """Every piece in turn sees what those before it changed; all of it is laid at once."""
-        draft, all_made = Draft(self.view), []
+        draft, all_made = StagedChanges(self.view), []
         for piece in self._pieces.values():
             try:
                 made = self._made(piece, call(piece, draft))
             except Exception as error:
-                raise Halted(f"record {index}: piece {piece.name} failed: {error!r}") from error
+                raise ReplicaHaltedError(f"record {index}: piece {piece.name} failed: {error!r}") from error
             for row, change in made:
                 draft.put(change.table, change.key, row)
             all_made += made
--- a/brookreach/coordination/state_machine/sessions.py
+++ b/brookreach/coordination/state_machine/sessions.py
@@ -12,11 +12,11 @@
 
 import msgspec
 
-from brookreach.coordination.ports import Stamped, Timing
+from brookreach.coordination.ports import LogRecord, Timing
 from brookreach.coordination.protocol import messages
-from brookreach.coordination.state_machine.application import Order, Row
+from brookreach.coordination.state_machine.application import Command, Row
 
-PIECE, VERSION = "fleet", 1
+APPLICATION, VERSION = "fleet", 1
 SEATS = "seats"  # records of the group's members: raft's, and nothing to the tables
 SESSIONS, ANSWERS = "sessions", "answers"
 MOST_SESSIONS = 16_384
@@ -25,30 +25,30 @@
 _out = msgspec.msgpack.Encoder(order="deterministic")
 
 
-class Began(Order, frozen=True):
+class SessionStarted(Command, frozen=True, tag="Began"):
     """A new session of a client; an older one of the same name ends with it."""
 
     client: messages.Name
-    kind: messages.Kind
+    kind: messages.ClientKind
 
 
-class Ended(Order, frozen=True):
+class SessionEnded(Command, frozen=True, tag="Ended"):
     session: messages.Count
     why: messages.Text
 
 
-class Passed(Order, frozen=True):
+class TimePassed(Command, frozen=True, tag="Passed"):
     """Nothing but time."""
 
 
-ORDERS = Began | Ended | Passed
+COMMANDS = SessionStarted | SessionEnded | TimePassed
 
 
 class SessionRow(Row, frozen=True):
     """By the client's name."""
 
     session: int
-    kind: messages.Kind
+    kind: messages.ClientKind
     began_ms: int
 
 
@@ -67,14 +67,14 @@
 PRIVATE = frozenset((ANSWERS,))
 
 
-def ordered(order: Began | Ended | Passed, at_ms: int) -> bytes:
+def ordered(order: SessionStarted | SessionEnded | TimePassed, at_ms: int) -> bytes:
     """An entry's octets, for what the group does of itself."""
-    return _out.encode(Stamped(PIECE, VERSION, at_ms, "", "", 0, 0, _out.encode(order)))
+    return _out.encode(LogRecord(APPLICATION, VERSION, at_ms, "", "", 0, 0, _out.encode(order)))
 
 
-def asked(ask: messages.Ask, at_ms: int, client: str, kind: str) -> bytes:
-    """An entry's octets, for a question that `Machine.misfit` has let through."""
-    return _out.encode(Stamped(ask.piece, ask.version, at_ms, client, kind, ask.session, ask.seq, ask.body))
+def asked(ask: messages.ProposeRequest, at_ms: int, client: str, kind: str) -> bytes:
+    """An entry's octets, for a question that `StateMachine.misfit` has let through."""
+    return _out.encode(LogRecord(ask.piece, ask.version, at_ms, client, kind, ask.session, ask.seq, ask.body))
 
 
 def mark(piece: str, version: int, body: bytes) -> str:
@@ -82,7 +82,7 @@
     return hashlib.sha256(_out.encode((piece, version, body))).hexdigest()[:16]
 
 
-class Leases:
+class LeaseBook:
     """When each session was last answered, by the leader's clock, as long as it leads."""
 
     def __init__(self, timing: Timing):
--- a/brookreach/coordination/state_machine/snapshots.py
+++ b/brookreach/coordination/state_machine/snapshots.py
@@ -12,14 +12,14 @@
 import msgspec
 
 from brookreach.coordination.protocol import messages
-from brookreach.coordination.state_machine.tables import Misfit, Tables, TooLarge
+from brookreach.coordination.state_machine.tables import InvalidRowError, RowTooLargeError, Tables
 
 FORM = 1
 MAGIC = b"brook\r\n\x01"
 SUM = 32  # bytes of SHA-256
 
 
-class Halted(Exception):
+class ReplicaHaltedError(Exception):
     """The log or a snapshot can't be gone on with here. The keeper says this and ends: never skips it."""
 
 
@@ -50,29 +50,31 @@
 
 
 def unpacked(octets: bytes, versions: Mapping[str, int], into: Tables) -> tuple[int, int]:
-    """Fills `into`, which is empty; hands back `applied` and `at_ms`; raises Halted."""
+    """Fills `into`, which is empty; hands back `applied` and `at_ms`; raises ReplicaHaltedError."""
     if octets[: len(MAGIC)] != MAGIC:
-        raise Halted(f"no snapshot: begins with {octets[: len(MAGIC)]!r}, not {MAGIC!r}")
+        raise ReplicaHaltedError(f"no snapshot: begins with {octets[: len(MAGIC)]!r}, not {MAGIC!r}")
     rest = octets[len(MAGIC) + SUM :]
     if hashlib.sha256(rest).digest() != octets[len(MAGIC) : len(MAGIC) + SUM]:
-        raise Halted(f"a snapshot of {len(octets)} bytes is torn or was changed: its checksum differs")
+        raise ReplicaHaltedError(f"a snapshot of {len(octets)} bytes is torn or was changed: its checksum differs")
     try:
         form = _forms.decode(rest)
         if form.form != FORM:
-            raise Halted(f"a snapshot of form {form.form}, of another version of the program; {FORM} is read")
+            raise ReplicaHaltedError(
+                f"a snapshot of form {form.form}, of another version of the program; {FORM} is read"
+            )
         found = _bodies.decode(form.body)
     except (msgspec.DecodeError, RecursionError) as error:
-        raise Halted(f"a snapshot that can't be read: {error}") from None
+        raise ReplicaHaltedError(f"a snapshot that can't be read: {error}") from None
     for name, version in found.pieces:
         if name not in versions:
-            raise Halted(f"a snapshot with piece {name!r}; known are {', '.join(sorted(versions))}")
+            raise ReplicaHaltedError(f"a snapshot with piece {name!r}; known are {', '.join(sorted(versions))}")
         if version > versions[name]:
-            raise Halted(
+            raise ReplicaHaltedError(
                 f"a snapshot with version {version} of piece {name}, of a later program; up to {versions[name]} is read"
             )
     for table, rows in found.tables:
         try:
             into.lay([into.read(table, key, row) for key, row in rows])
-        except (Misfit, TooLarge) as error:
-            raise Halted(f"a snapshot of place {found.applied}: {error}") from None
+        except (InvalidRowError, RowTooLargeError) as error:
+            raise ReplicaHaltedError(f"a snapshot of place {found.applied}: {error}") from None
     return found.applied, found.at_ms
--- a/brookreach/coordination/state_machine/tables.py
+++ b/brookreach/coordination/state_machine/tables.py
@@ -14,7 +14,7 @@
 from sortedcontainers import SortedDict
 
 from brookreach.coordination.protocol import messages
-from brookreach.coordination.state_machine.application import Put, Row
+from brookreach.coordination.state_machine.application import Row, RowUpdate
 
 MOST_KEY = 200  # as words.Key; "" is no row's key
 BESIDE = 16  # bytes of a change beside its names and octets, at most
@@ -23,21 +23,21 @@
 _out = msgspec.msgpack.Encoder(order="deterministic")
 
 
-class TooLarge(Exception):
+class RowTooLargeError(Exception):
     """A row or key that no message can carry. Whoever asked for it is refused."""
 
 
-class Misfit(Exception):
+class InvalidRowError(Exception):
     """A row that is none of its table: a defect in a piece, or of a later version."""
 
 
-def weight(change: messages.Change) -> int:
+def weight(change: messages.RowChange) -> int:
     """Its bytes in a message, from above."""
     octets = len(change.octets) if change.octets is not None else 0
     return BESIDE + len(change.table) + len(change.key.encode()) + octets
 
 
-def trace(change: messages.Change) -> int:
+def trace(change: messages.RowChange) -> int:
     """Stands for one row in a sum over rows, in which order is nothing."""
     return int.from_bytes(hashlib.blake2b(_out.encode(change), digest_size=SUM).digest(), "big")
 
@@ -80,53 +80,53 @@
         """Bytes of all its rows as changes, from above."""
         return self._weights[table]
 
-    def changes(self, table: str) -> list[messages.Change]:
+    def changes(self, table: str) -> list[messages.RowChange]:
         """All its rows, as messages carry them."""
         return [change for _, change in self._held[table].values()]
 
-    def made(self, put: Put) -> tuple[Any, messages.Change]:
-        """The row as it would stand, and its change; raises Misfit or TooLarge, and changes nothing."""
+    def made(self, put: RowUpdate) -> tuple[Any, messages.RowChange]:
+        """The row as it would stand, and its change; raises InvalidRowError or TooLarge, and changes nothing."""
         self._known(put.table, put.key)
         if put.row is None:
-            return None, messages.Change(put.table, put.key, None)
+            return None, messages.RowChange(put.table, put.key, None)
         if type(put.row) is not self.types[put.table]:
-            raise Misfit(f"{put.table}: a {type(put.row).__name__}, no {self.types[put.table].__name__}")
+            raise InvalidRowError(f"{put.table}: a {type(put.row).__name__}, no {self.types[put.table].__name__}")
         try:
             octets = _out.encode(put.row)
         except OverflowError as error:
-            raise TooLarge(f"{put.table} {put.key!r}: a number past 64 bits: {error}") from None
+            raise RowTooLargeError(f"{put.table} {put.key!r}: a number past 64 bits: {error}") from None
         except (TypeError, ValueError) as error:
-            raise Misfit(f"{put.table} {put.key!r}: {error}") from None
+            raise InvalidRowError(f"{put.table} {put.key!r}: {error}") from None
         return self.read(put.table, put.key, octets)
 
-    def read(self, table: str, key: str, octets: bytes | None) -> tuple[Any, messages.Change]:
+    def read(self, table: str, key: str, octets: bytes | None) -> tuple[Any, messages.RowChange]:
         """The same from a row's octets. What stands is what they say, so a copy of it can't differ."""
         self._known(table, key)
         if octets is None:
-            return None, messages.Change(table, key, None)
-        if len(octets) > messages.MOST_RECORD:
-            raise TooLarge(f"{table} {key!r}: {len(octets)} bytes; {messages.MOST_RECORD} are allowed")
+            return None, messages.RowChange(table, key, None)
+        if len(octets) > messages.MAX_COMMAND_BYTES:
+            raise RowTooLargeError(f"{table} {key!r}: {len(octets)} bytes; {messages.MAX_COMMAND_BYTES} are allowed")
         try:
             row = self._readers[table].decode(octets)
         except (msgspec.DecodeError, RecursionError) as error:
-            raise Misfit(f"{table} {key!r} is no {self.types[table].__name__}: {error}") from None
-        return row, messages.Change(table, key, octets)
+            raise InvalidRowError(f"{table} {key!r} is no {self.types[table].__name__}: {error}") from None
+        return row, messages.RowChange(table, key, octets)
 
     def _known(self, table: str, key: str) -> None:
         if table not in self.types:
-            raise Misfit(f"no table {table!r}; there are {', '.join(self.types)}")
+            raise InvalidRowError(f"no table {table!r}; there are {', '.join(self.types)}")
         if not isinstance(key, str):
-            raise Misfit(f"{table}: {key!r} is no key")
+            raise InvalidRowError(f"{table}: {key!r} is no key")
         if not 1 <= len(key) <= MOST_KEY:
-            raise TooLarge(f"{table}: a key of {len(key)} characters; 1 to {MOST_KEY} are allowed")
+            raise RowTooLargeError(f"{table}: a key of {len(key)} characters; 1 to {MOST_KEY} are allowed")
         try:
             key.encode()
         except UnicodeEncodeError:
-            raise Misfit(f"{table}: {key!r} can't be sent") from None
+            raise InvalidRowError(f"{table}: {key!r} can't be sent") from None
 
-    def lay(self, made: Iterable[tuple[Any, messages.Change]]) -> tuple[messages.Change, ...]:
+    def lay(self, made: Iterable[tuple[Any, messages.RowChange]]) -> tuple[messages.RowChange, ...]:
         """Puts in what `made` or `read` gave; hands back what is not as it was before, in that order."""
-        moved: dict[tuple[str, str], messages.Change] = {}
+        moved: dict[tuple[str, str], messages.RowChange] = {}
         for row, change in made:
             held, place = self._held[change.table], (change.table, change.key)
             old = held.get(change.key)
@@ -145,13 +145,13 @@
             moved[place] = change
         return tuple(moved.values())
 
-    def take(self, puts: Iterable[Put]) -> tuple[messages.Change, ...]:
+    def take(self, puts: Iterable[RowUpdate]) -> tuple[messages.RowChange, ...]:
         """All of them, or none and an error."""
         return self.lay([self.made(put) for put in puts])
 
-    def standing(self, table: str, key: str) -> tuple[Any, messages.Change]:
+    def standing(self, table: str, key: str) -> tuple[Any, messages.RowChange]:
         """What `lay` needs to put it back as it is."""
-        return self._held[table].get(key) or (None, messages.Change(table, key, None))
+        return self._held[table].get(key) or (None, messages.RowChange(table, key, None))
 
     def digest(self) -> str:
         """The same on every process whose rows are the same."""
--- a/brookreach/coordination/storage/store.py
+++ b/brookreach/coordination/storage/store.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from brookreach.coordination.ports import DiskError, Kept, Save
+from brookreach.coordination.ports import PendingSave, StorageError, StoredState
 from brookreach.coordination.protocol.messages import Entry
 from brookreach.coordination.raft.membership import proper
 
@@ -39,13 +39,13 @@
     return hashlib.blake2b(msgspec.msgpack.encode((table, row)), digest_size=16).digest()
 
 
-def first_save(me: str, seats: tuple[str, ...], joins: bool) -> Save:
-    """What an empty disk is founded or joined with; raises DiskError."""
+def first_save(me: str, seats: tuple[str, ...], joins: bool) -> PendingSave:
+    """What an empty disk is founded or joined with; raises StorageError."""
     if not proper(seats):
-        raise DiskError(f"seats {', '.join(seats) or 'none'}: 1 to 16 names, none twice, are allowed")
+        raise StorageError(f"seats {', '.join(seats) or 'none'}: 1 to 16 names, none twice, are allowed")
     if joins == (me in seats):
-        raise DiskError(f"{me} {'has a seat already' if joins else 'has no seat'} among {', '.join(seats)}")
-    return Save(0, "", 0, [], (0, 0, seats, b""))
+        raise StorageError(f"{me} {'has a seat already' if joins else 'has no seat'} among {', '.join(seats)}")
+    return PendingSave(0, "", 0, [], (0, 0, seats, b""))
 
 
 class Store:
@@ -66,8 +66,8 @@
             self.base.close()
             raise self._wrong(str(error)) from None
 
-    def _wrong(self, text: str) -> DiskError:
-        return DiskError(f"{self.path}: {text}")
+    def _wrong(self, text: str) -> StorageError:
+        return StorageError(f"{self.path}: {text}")
 
     # --- once ---
 
@@ -79,7 +79,7 @@
         """The group with these seats will give this keeper one, under a name that none has had before."""
         self._begin(first_save(self.me, seats, joins=True))
 
-    def _begin(self, save: Save) -> None:
+    def _begin(self, save: PendingSave) -> None:
         if self.load().seats:
             raise self._wrong("holds a keeper already; only an empty disk can be founded or joined with")
         try:
@@ -96,14 +96,14 @@
 
     # --- reading ---
 
-    def load(self) -> Kept:
-        """Raises DiskError for anything but what was saved last. Without seats: nothing was saved here."""
+    def load(self) -> StoredState:
+        """Raises StorageError for anything but what was saved last. Without seats: nothing was saved here."""
         try:
             return self._load()
         except (sqlite3.Error, msgspec.DecodeError) as error:
             raise self._wrong(f"can't be read: {error}") from None
 
-    def _load(self) -> Kept:
+    def _load(self) -> StoredState:
         found = self.base.execute("PRAGMA quick_check").fetchall()
         if found != [("ok",)]:
             raise self._wrong(f"is torn: {found[0][0]}")
@@ -111,7 +111,7 @@
         if not held and self.path.stat().st_size:
             raise self._wrong("is torn: not empty, and nothing stands there")
         if not held:
-            return Kept()
+            return StoredState()
         if held != {"about", "promise", "snapshot", "log"}:
             raise self._wrong("is no keeper's file: " + ", ".join(sorted(held)))
         version, group, keeper = self._row("about", "format, party, keeper")
@@ -124,7 +124,7 @@
         entries = tuple(self._entries(index, last))
         self.last = last
         who = msgspec.msgpack.decode(seats, type=tuple[str, ...])
-        return Kept(term, vote, who, index, index_term, octets, entries)
+        return StoredState(term, vote, who, index, index_term, octets, entries)
 
     def _row(self, table: str, fields: str) -> tuple[Any, ...]:
         rows = self.base.execute(f"SELECT {fields}, sum FROM {table}").fetchall()
@@ -144,7 +144,7 @@
 
     # --- writing ---
 
-    def save(self, save: Save) -> None:
+    def save(self, save: PendingSave) -> None:
         try:
             self.base.execute("BEGIN IMMEDIATE")
             self._write(save)
@@ -153,13 +153,13 @@
             raise self._failed(error) from None
         self.saves += 1
 
-    def _failed(self, error: sqlite3.Error) -> DiskError:
+    def _failed(self, error: sqlite3.Error) -> StorageError:
         if self.base.in_transaction:
             with contextlib.suppress(sqlite3.Error):
                 self.base.execute("ROLLBACK")
         return self._wrong(f"can't be saved to: {error}")
 
-    def _write(self, save: Save) -> None:
+    def _write(self, save: PendingSave) -> None:
         run = self.base.execute
         last = after(save)
         run("DELETE FROM log WHERE place > ?", (save.after,))
@@ -179,24 +179,24 @@
         self.base.close()
 
 
-def after(save: Save) -> int:
+def after(save: PendingSave) -> int:
     """Where the log ends once this is saved."""
     last = save.after + len(save.entries)
     return max(last, save.snapshot[0]) if save.snapshot else last
 
 
-class MemoryDisk:
+class MemoryStore:
     """A `seams.Disk` for the virtual world, founded or joined with `seats`, if there are any."""
 
     def __init__(self, seats: tuple[str, ...] = ()):
-        self.kept, self.saves = Kept(seats=seats), 0
+        self.kept, self.saves = StoredState(seats=seats), 0
         self.entries: list[Entry] = []
         self.failing = ""
 
     def found(self, seats: tuple[str, ...]) -> None:
         if self.kept.seats:
-            raise DiskError("holds a keeper already; only an empty disk can be founded or joined with")
-        self.kept = Kept(seats=seats)
+            raise StorageError("holds a keeper already; only an empty disk can be founded or joined with")
+        self.kept = StoredState(seats=seats)
 
     join = found
 
@@ -204,20 +204,20 @@
         """The next save fails, and nothing of it lasts."""
         self.failing = text
 
-    def load(self) -> Kept:
+    def load(self) -> StoredState:
         one = self.kept
         return replace(one, entries=tuple(self.entries))
 
-    def save(self, save: Save) -> None:
+    def save(self, save: PendingSave) -> None:
         if self.failing:
             text, self.failing = self.failing, ""
-            raise DiskError(f"memory disk {text}")
+            raise StorageError(f"memory disk {text}")
         one = self.kept
         del self.entries[max(0, save.after - one.index) :]
         self.entries.extend(save.entries)
         if save.snapshot:
             index, term, seats, octets = save.snapshot
             self.entries = [entry for entry in self.entries if entry.index > index]
-            one = Kept(0, "", seats, index, term, octets)
+            one = StoredState(0, "", seats, index, term, octets)
         self.kept = replace(one, term=save.term, vote=save.vote)
         self.saves += 1
--- a/brookreach/disruption/application.py
+++ b/brookreach/disruption/application.py
@@ -8,16 +8,23 @@
 from collections.abc import Mapping
 from typing import Any
 
-from brookreach.coordination.state_machine.application import Context, Draft, Put, Refusal, Row, View
+from brookreach.coordination.state_machine.application import (
+    CommandRejectedError,
+    Context,
+    Row,
+    RowUpdate,
+    StagedChanges,
+    View,
+)
 from brookreach.disruption import budgets, deadlines, halt, internal_tables, liveness, permits, releases
 from brookreach.disruption import commands as orders
 from brookreach.disruption import tables as rows
 from brookreach.disruption.targets import OVER
 
 
-def changes(draft: Draft) -> list[Put]:
+def changes(draft: StagedChanges) -> list[RowUpdate]:
     """Without what was taken out and put back as it was."""
-    return [put for put in draft.puts() if draft.under.get(put.table, put.key) != put.row]
+    return [put for put in draft.updates() if draft.under.get(put.table, put.key) != put.row]
 
 
 class Outages:
@@ -43,9 +50,9 @@
         internal_tables.VOTES: internal_tables.VoteRow,
     }
 
-    def apply(self, view: View, order: Any, context: Context) -> list[Put]:
+    def apply(self, view: View, order: Any, context: Context) -> list[RowUpdate]:
         orders.may(order, context)
-        draft = Draft(view)
+        draft = StagedChanges(view)
         match order:
             case orders.NodeSeen():
                 liveness.node(draft, order, context)
@@ -64,7 +71,7 @@
             case orders.SendBack():
                 releases.send_back(draft, order, context)
             case orders.Halt():
-                halt.halt(draft, context, context.by, order.reason, order.way_back)
+                halt.halt(draft, context, context.client, order.reason, order.way_back)
                 releases.hold(draft)
             case orders.Resume():
                 halt.lift(draft, order.fence)
@@ -79,20 +86,22 @@
                 liveness.notice(draft, order, context)
         return changes(draft)
 
-    def _take_back(self, draft: Draft, order: orders.TakeBack, context: Context) -> None:
+    def _take_back(self, draft: StagedChanges, order: orders.TakeBack, context: Context) -> None:
         permit = draft.get(rows.PERMITS, order.name)
         if permit is not None and permit.what == "move":
-            raise Refusal(f"{order.name} is a gang's move: its gang takes it back")
-        if permit is not None and context.kind == "marshal" and permit.target != context.by:
-            raise Refusal(f"{order.name} is of {permit.target}: {context.by} may take back its own only")
+            raise CommandRejectedError(f"{order.name} is a gang's move: its gang takes it back")
+        if permit is not None and context.client_kind == "marshal" and permit.target != context.client:
+            raise CommandRejectedError(
+                f"{order.name} is of {permit.target}: {context.client} may take back its own only"
+            )
         permits.take_back(draft, context, order.name, order.reason)
 
-    def due_ms(self, view: View) -> int | None:
+    def next_timer_ms(self, view: View) -> int | None:
         return deadlines.next_ms(view)
 
-    def passed(self, view: View, context: Context) -> list[Put]:
-        draft = Draft(view)
-        for one in deadlines.taken(draft, context.at_ms):
+    def advance_time(self, view: View, context: Context) -> list[RowUpdate]:
+        draft = StagedChanges(view)
+        for one in deadlines.taken(draft, context.now_ms):
             match one.what:
                 case deadlines.LATE:
                     permits.late(draft, context, one.name)
@@ -111,10 +120,10 @@
         permits.serve(draft, context)
         return changes(draft)
 
-    def ended(self, view: View, context: Context) -> list[Put]:
-        draft = Draft(view)
+    def end_session(self, view: View, context: Context) -> list[RowUpdate]:
+        draft = StagedChanges(view)
         liveness.session_ended(draft, context)
         return changes(draft)
 
 
-PIECE = Outages()
+APPLICATION = Outages()
--- a/brookreach/disruption/balancer_client.py
+++ b/brookreach/disruption/balancer_client.py
@@ -18,12 +18,20 @@
 import anyio
 
 from brookreach.coordination import configuration
-from brookreach.coordination.client.client import Client, NotHeld
-from brookreach.coordination.client.connection import Dial, now_ms
-from brookreach.coordination.client.events import Answered, Changed, Event, Joined, SessionLost, TurnedAway
-from brookreach.coordination.client.requests import TooMany
-from brookreach.coordination.state_machine.application import Order
-from brookreach.disruption.application import PIECE
+from brookreach.coordination.client.client import Client
+from brookreach.coordination.client.connection import ClientConnection, now_ms
+from brookreach.coordination.client.events import (
+    ClientEvent,
+    ClientRejected,
+    ReplyReceived,
+    RowsChanged,
+    SessionEstablished,
+    SessionLost,
+)
+from brookreach.coordination.client.requests import TooManyRequestsError
+from brookreach.coordination.client.session_holder import SessionNotHeldError
+from brookreach.coordination.state_machine.application import Command
+from brookreach.disruption.application import APPLICATION
 from brookreach.disruption.commands import AskRestart, MarshalSeen
 from brookreach.disruption.endpoint_overlay import Agreed, Overlay
 from brookreach.disruption.tables import HALT, MARSHALS, NODES, PERMITS
@@ -58,11 +66,11 @@
         self.begin()
 
     def begin(self) -> None:
-        tables = {name: PIECE.tables[name] for name in WATCHED}
+        tables = {name: APPLICATION.tables[name] for name in WATCHED}
         self.agreed = Agreed()
         keepers = tuple(self.addresses)
         self.client = Client(self.name, "marshal", keepers, self.timing, random.Random(), tables)
-        self.dial = Dial(self.client, self.group, self.key, self.addresses, self.hear)
+        self.dial = ClientConnection(self.client, self.group, self.key, self.addresses, self.hear)
         self.seen: Literal["ready", "draining"] = "ready"
 
     async def run(self) -> None:
@@ -89,30 +97,30 @@
     def _say(self) -> None:
         self._ask(MarshalSeen(self.name, self.zone, 0, SERVICE, self.seen, True, self.client.mirror.index))
 
-    def _ask(self, order: Order) -> None:
+    def _ask(self, order: Command) -> None:
         """Without a session there is nobody to ask; the next one begins with what stands then."""
         if self.client.session:
-            with contextlib.suppress(TooMany, NotHeld):
-                self.client.ask(now_ms(), PIECE.name, order)
+            with contextlib.suppress(TooManyRequestsError, SessionNotHeldError):
+                self.client.ask(now_ms(), APPLICATION.name, order)
             self.dial.stir()
 
-    def hear(self, event: Event) -> None:
+    def hear(self, event: ClientEvent) -> None:
         say = self.parts.report.say
         match event:
-            case Joined(session=session, keeper=keeper, again=again):
+            case SessionEstablished(session=session, keeper=keeper, again=again):
                 say("fleet", f"session {session} {'goes on' if again else 'begins'} with {keeper}")
                 if not again:
                     self._say()
             case SessionLost(session=session, why=why):
                 say("fleet", f"session {session} is lost: {why}; what was agreed last stands")
-            case Changed():
+            case RowsChanged():
                 self._changed(event)
-            case Answered(ok=False, text=text):
+            case ReplyReceived(ok=False, text=text):
                 say("fleet", f"refused: {text}")
-            case TurnedAway(why=why, text=text):
+            case ClientRejected(why=why, text=text):
                 say("fleet", f"turned away, {why}: {text}")
 
-    def _changed(self, event: Changed) -> None:
+    def _changed(self, event: RowsChanged) -> None:
         began = time.monotonic()
         moved = self.overlay.agreed(self.agreed.take(self.client.mirror, event))
         took = f"told in {(time.monotonic() - began) * 1000.0:.1f} ms"
--- a/brookreach/disruption/budgets.py
+++ b/brookreach/disruption/budgets.py
@@ -9,7 +9,7 @@
 
 from typing import Any, Literal
 
-from brookreach.coordination.state_machine.application import Context, Draft, Refusal, View
+from brookreach.coordination.state_machine.application import CommandRejectedError, Context, StagedChanges, View
 from brookreach.disruption.commands import SetBudgets
 from brookreach.disruption.internal_tables import COUNTS, CountRow, ordered
 from brookreach.disruption.tables import BUDGETS, MARSHALS, NODES, BudgetRow, MarshalRow, NodeRow
@@ -37,7 +37,7 @@
     return found or CountRow(0, 0)
 
 
-def counted(draft: Draft, kind: Kind, scope: str, total: int, out: int) -> None:
+def counted(draft: StagedChanges, kind: Kind, scope: str, total: int, out: int) -> None:
     old = count(draft, kind, scope)
     new = CountRow(old.total + total, old.out + out)
     draft.put(COUNTS, f"{kind}/{scope}", new if new.total else None)
@@ -57,14 +57,14 @@
     return min(budget.most_out - now.out, now.total - now.out - budget.least_ready)
 
 
-def set_budgets(draft: Draft, order: SetBudgets, context: Context) -> None:
+def set_budgets(draft: StagedChanges, order: SetBudgets, context: Context) -> None:
     """The operators' file as a whole: what it doesn't name has no budget any more."""
     names = [f"{one.kind}/{one.scope}" for one in order.rows]
     rows = [BudgetRow(one.kind, one.most_out, one.least_ready) for one in order.rows]
     told = dict(zip(names, rows, strict=True))
     if len(told) < len(names):
         twice = sorted({name for name in names if names.count(name) > 1})
-        raise Refusal(f"budgets stand twice: {', '.join(twice)}; one for each kind and scope is allowed")
+        raise CommandRejectedError(f"budgets stand twice: {', '.join(twice)}; one for each kind and scope is allowed")
     for key, _ in list(ordered(draft, BUDGETS)):
         if key not in told:
             draft.put(BUDGETS, key, None)
--- a/brookreach/disruption/build_assignments.py
+++ b/brookreach/disruption/build_assignments.py
@@ -9,7 +9,7 @@
 
 from msgspec import structs
 
-from brookreach.coordination.state_machine.application import Context, Draft, View
+from brookreach.coordination.state_machine.application import Context, StagedChanges, View
 from brookreach.disruption import deadlines, targets
 from brookreach.disruption.internal_tables import DRAWS, PROGRESS, ProgressRow, ordered
 from brookreach.disruption.tables import ASSIGNED, NODES, RELEASES, AssignRow, NodeRow, ReleaseRow
@@ -46,7 +46,7 @@
     return f"{(build * SPREAD + nth) % BUCKETS:02x}/"
 
 
-def draw(draft: Draft, context: Context, build: int) -> None:
+def draw(draft: StagedChanges, context: Context, build: int) -> None:
     """More nodes for the stage that is open, until it has its target or all were looked at."""
     left = BATCH
     progress = progress_of(draft, build)
@@ -67,10 +67,10 @@
             progress = structs.replace(progress, cursor=progress.cursor + 1)
             draft.put(PROGRESS, str(build), progress)
     if progress.drawing:
-        deadlines.at(draft, context.at_ms, deadlines.DRAW, str(build))
+        deadlines.at(draft, context.now_ms, deadlines.DRAW, str(build))
 
 
-def undraw(draft: Draft, context: Context, build: int) -> None:
+def undraw(draft: StagedChanges, context: Context, build: int) -> None:
     """The way back: the last drawn first. Only nodes that run the build, or may come up with it, restart."""
     left = BATCH
     progress = progress_of(draft, build)
@@ -91,14 +91,14 @@
             draft.put(PROGRESS, str(build), progress)
         left -= min(left, len(names))
     if progress.drawing:
-        deadlines.at(draft, context.at_ms, deadlines.DRAW, str(build))
+        deadlines.at(draft, context.now_ms, deadlines.DRAW, str(build))
 
 
 def _rank(view: View, context: Context, name: str, build: int, back: bool) -> int:
     """By the draw, whenever a node comes to it: what was opened last goes back first."""
     release = release_of(view, build)
     open_since = release is not None and release.state != "released"
-    since_ms = release.since_ms if release is not None and open_since else context.at_ms
+    since_ms = release.since_ms if release is not None and open_since else context.now_ms
     nth = (int(targets.bucket(name), 16) - build * SPREAD) % BUCKETS
     if back:
         return since_ms + BUCKETS - nth
@@ -124,7 +124,7 @@
     return any(one.startswith("release:") for one, _ in targets.permits_of(view, "node", name))
 
 
-def _assign(draft: Draft, name: str, assign: AssignRow | None) -> None:
+def _assign(draft: StagedChanges, name: str, assign: AssignRow | None) -> None:
     """A new assignment; a restart that waited for the old one waits no more."""
     targets.lift(draft, "node", name)
     draft.put(ASSIGNED, name, assign)
@@ -133,7 +133,7 @@
     targets.lay(draft, "node", name)
 
 
-def follow(draft: Draft, context: Context, name: str) -> None:
+def follow(draft: StagedChanges, context: Context, name: str) -> None:
     """After anything about the node: what it is to run, and a restart in the queue if it doesn't.
 
     A node that comes with a build whose release doesn't have it, or that was sent back, goes to the earlier.
--- a/brookreach/disruption/commands.py
+++ b/brookreach/disruption/commands.py
@@ -7,7 +7,8 @@
 import msgspec
 
 from brookreach.coordination.protocol.messages import Count, Name, Text
-from brookreach.coordination.state_machine.application import Context, Order, Refusal
+from brookreach.coordination.protocol.tags import wire_name
+from brookreach.coordination.state_machine.application import Command, CommandRejectedError, Context
 
 Scope = Annotated[str, msgspec.Meta(max_length=80, pattern=r"^(all|build:[0-9]+|(zone|service):[A-Za-z0-9._-]+)\Z")]
 # Lengths are such that the longest key of all tables stays under the 200 characters that the ground takes.
@@ -31,46 +32,46 @@
     least_ready: Count
 
 
-class SetBudgets(Order, frozen=True):
+class SetBudgets(Command, frozen=True):
     """All budgets; they replace those that stand."""
 
     rows: Annotated[tuple[BudgetFor, ...], msgspec.Meta(max_length=512)]
 
 
-class AskDrain(Order, frozen=True):
+class AskDrain(Command, frozen=True):
     name: Asked
     node: Name
     urgency: Urgency
     reason: Text
 
 
-class AskRestart(Order, frozen=True):
+class AskRestart(Command, frozen=True):
     name: Asked
     marshal: Name
     urgency: Urgency
     reason: Text = ""
 
 
-class TakeBack(Order, frozen=True):
+class TakeBack(Command, frozen=True):
     name: PermitName
     reason: Text
 
 
-class Halt(Order, frozen=True):
+class Halt(Command, frozen=True):
     """Nothing more goes out. `way_back`: but nodes of a build that was sent back."""
 
     reason: Text
     way_back: bool = False
 
 
-class Resume(Order, frozen=True):
+class Resume(Command, frozen=True):
     """`fence`: of the halt that is meant."""
 
     fence: Count
     reason: Text
 
 
-class Gone(Order, frozen=True):
+class Gone(Command, frozen=True):
     """It will not come back: no longer of the fleet, and its permits are over. The operator's word for it."""
 
     kind: Literal["node", "marshal"]
@@ -78,7 +79,7 @@
     reason: Text
 
 
-class BeginRelease(Order, frozen=True):
+class BeginRelease(Command, frozen=True):
     build: Count
     earlier: Count
     shares: Stages
@@ -88,12 +89,12 @@
     on_votes: Annotated[int, msgspec.Meta(ge=0, le=1000)]
 
 
-class SendBack(Order, frozen=True):
+class SendBack(Command, frozen=True):
     build: Count
     reason: Text
 
 
-class NodeSeen(Order, frozen=True):
+class NodeSeen(Command, frozen=True):
     """`heard`: the place of the log that the agent's mirror had come to when it looked at its node."""
 
     node: Name
@@ -107,7 +108,7 @@
     heard: Count
 
 
-class MarshalSeen(Order, frozen=True):
+class MarshalSeen(Command, frozen=True):
     """A marshal about itself. Its session stands for its life."""
 
     marshal: Name
@@ -119,18 +120,18 @@
     heard: Count
 
 
-class RetirementNotice(Order, frozen=True):
+class RetirementNotice(Command, frozen=True):
     """The node is taken away at that time. A later notice replaces an earlier one, whichever way it moves."""
 
     node: Name
     at_ms: Annotated[int, msgspec.Meta(ge=1, le=1 << 53)]
 
 
-class RetirementWithdrawn(Order, frozen=True):
+class RetirementWithdrawn(Command, frozen=True):
     node: Name
 
 
-class Voted(Order, frozen=True):
+class Voted(Command, frozen=True):
     """A marshal's verdict on a build in a stage. Its next one replaces it, but back stays back."""
 
     build: Count
@@ -160,23 +161,23 @@
 
 def may(order: Orders, context: Context) -> None:
     """Refused where it is not the sender's to say: each agent and marshal speaks for itself only."""
-    who = context.kind
+    who = context.client_kind
     if isinstance(order, OPERATORS):
         own = isinstance(order, TakeBack) and who == "marshal"  # `permits` looks whose it is
         good = who == "operator" or own
         allowed = "operators"
     elif isinstance(order, NodeSeen):
-        good, allowed = who == "agent" and order.node == context.by, f"the agent of {order.node}"
+        good, allowed = who == "agent" and order.node == context.client, f"the agent of {order.node}"
     elif isinstance(order, (RetirementNotice, RetirementWithdrawn)):
-        good = who == "operator" or (who == "agent" and order.node == context.by)
+        good = who == "operator" or (who == "agent" and order.node == context.client)
         allowed = f"operators and the agent of {order.node}"
     elif isinstance(order, MarshalSeen):
-        good, allowed = who == "marshal" and order.marshal == context.by, f"{order.marshal} itself"
+        good, allowed = who == "marshal" and order.marshal == context.client, f"{order.marshal} itself"
     elif isinstance(order, AskRestart):
-        good = who == "operator" or (who == "marshal" and order.marshal == context.by)
+        good = who == "operator" or (who == "marshal" and order.marshal == context.client)
         allowed = f"operators and {order.marshal} itself"
     else:
         good, allowed = who == "marshal", "marshals"
     if not good:
-        sender = f"{context.kind or 'the group'} {context.by!r}"
-        raise Refusal(f"{type(order).__name__} of {sender}: {allowed} may say it")
+        sender = f"{context.client_kind or 'the group'} {context.client!r}"
+        raise CommandRejectedError(f"{wire_name(order)} of {sender}: {allowed} may say it")
--- a/brookreach/disruption/deadlines.py
+++ b/brookreach/disruption/deadlines.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from brookreach.coordination.state_machine.application import Draft, View
+from brookreach.coordination.state_machine.application import StagedChanges, View
 from brookreach.disruption.internal_tables import DUE, DueRow, first, ordered
 
 LATE, FORGET, NODE, VOTES, STAGE, DRAW, SERVE = "late", "forget", "node", "votes", "stage", "draw", "serve"
@@ -17,11 +17,11 @@
     return f"{ms:016d}/{what}/{name}"
 
 
-def at(draft: Draft, ms: int, what: str, name: str) -> None:
+def at(draft: StagedChanges, ms: int, what: str, name: str) -> None:
     draft.put(DUE, _key(ms, what, name), DueRow(what, name))
 
 
-def off(draft: Draft, ms: int, what: str, name: str) -> None:
+def off(draft: StagedChanges, ms: int, what: str, name: str) -> None:
     draft.put(DUE, _key(ms, what, name), None)
 
 
@@ -30,7 +30,7 @@
     return int(found[0][:16]) if found else None
 
 
-def taken(draft: Draft, at_ms: int) -> list[DueRow]:
+def taken(draft: StagedChanges, at_ms: int) -> list[DueRow]:
     """Those whose time has come, out of the table."""
     came: list[tuple[str, DueRow]] = []
     for key, row in ordered(draft, DUE):
--- a/brookreach/disruption/endpoint_overlay.py
+++ b/brookreach/disruption/endpoint_overlay.py
@@ -10,7 +10,7 @@
 from dataclasses import replace
 
 from brookreach import interface as ifc
-from brookreach.coordination.client.events import Changed
+from brookreach.coordination.client.events import RowsChanged
 from brookreach.coordination.state_machine.application import View
 from brookreach.disruption.tables import NODES, PERMITS, NodeRow, PermitRow
 from brookreach.disruption.targets import OUT
@@ -31,11 +31,11 @@
     def __init__(self) -> None:
         self.permits: dict[str, PermitRow] = {}  # drains that are out, by name
 
-    def take(self, view: View, changed: Changed) -> frozenset[str]:
+    def take(self, view: View, changed: RowsChanged) -> frozenset[str]:
         if changed.whole:
             self.permits = {name: row for name, row in view.rows(PERMITS) if self._drains(row)}
         else:
-            for put in changed.puts:
+            for put in changed.updates:
                 if put.table == PERMITS:
                     self.permits.pop(put.key, None)
                     if isinstance(put.row, PermitRow) and self._drains(put.row):
