--- a/brookreach/disruption/internal_tables.py
+++ b/brookreach/disruption/internal_tables.py
@@ -11,7 +11,7 @@
 from itertools import groupby
 from typing import Any
 
-from brookreach.coordination.state_machine.application import Draft, Row, View
+from brookreach.coordination.state_machine.application import Row, StagedChanges, View
 
 COUNTS, OPEN, WAITS, LINES, HELD, DRAWS, DUE, PROGRESS, VOTES = (
     "outages.counts",
@@ -99,7 +99,7 @@
 
     The view under a record's draft doesn't change while the record is applied, so walking it is safe.
     """
-    if not isinstance(view, Draft):
+    if not isinstance(view, StagedChanges):
         yield from getattr(view, "walk", view.rows)(table, prefix)
         return
     laid = sorted((key, 0, row) for (name, key), row in view.over.items() if name == table and key.startswith(prefix))
--- a/brookreach/disruption/node_agent.py
+++ b/brookreach/disruption/node_agent.py
@@ -18,10 +18,10 @@
 
 from brookreach.coordination import configuration
 from brookreach.coordination.client.client import Client
-from brookreach.coordination.client.connection import Dial, now_ms
-from brookreach.coordination.client.events import Answered, Changed, Event, Joined
+from brookreach.coordination.client.connection import ClientConnection, now_ms
+from brookreach.coordination.client.events import ClientEvent, ReplyReceived, RowsChanged, SessionEstablished
 from brookreach.coordination.state_machine.application import Row
-from brookreach.disruption.application import PIECE
+from brookreach.disruption.application import APPLICATION
 from brookreach.disruption.commands import NodeSeen
 from brookreach.disruption.tables import HALT, PERMITS, HaltRow, PermitRow, Standing
 from brookreach.disruption.targets import OUT
@@ -54,7 +54,7 @@
     def __init__(
         self,
         facts: Facts,
-        told: configuration.FleetFile,
+        told: configuration.ClusterConfiguration,
         key: bytes,
         away_s: float | None,
         say: Say,
@@ -64,10 +64,10 @@
         self.life = int(time.time())  # later than any before: each start of an agent begins one
         self.standing: Standing = "ready"
         self.permit = ""  # by which it is out
-        tables = {name: PIECE.tables[name] for name in (PERMITS, HALT)} | dict(more or {})
+        tables = {name: APPLICATION.tables[name] for name in (PERMITS, HALT)} | dict(more or {})
         keepers = told.addresses()
         self.client = Client(facts.name, "agent", tuple(keepers), told.times(), random.Random(), tables)
-        self.dial = Dial(self.client, told.group.name, key, keepers, self.hear)
+        self.dial = ClientConnection(self.client, told.group.name, key, keepers, self.hear)
         self.goes = anyio.Event()
 
     async def run(self) -> None:
@@ -107,15 +107,15 @@
                 self.standing == "ready",
                 self.client.mirror.index,
             )
-            self.client.ask(now_ms(), PIECE.name, order)
+            self.client.ask(now_ms(), APPLICATION.name, order)
             self.dial.stir()
 
-    def hear(self, event: Event) -> None:
-        if isinstance(event, Joined) and not event.again:
+    def hear(self, event: ClientEvent) -> None:
+        if isinstance(event, SessionEstablished) and not event.again:
             self._tell()
-        elif isinstance(event, Changed):
+        elif isinstance(event, RowsChanged):
             self._changed()
-        elif isinstance(event, Answered):
+        elif isinstance(event, ReplyReceived):
             place = f"agreed at place {event.index}" if event.ok else f"refused: {event.text}"
             self.say(f"{self.facts.name} {self.standing}, life {self.life}, {place}")
 
--- a/brookreach/disruption/permits.py
+++ b/brookreach/disruption/permits.py
@@ -12,7 +12,7 @@
 
 from msgspec import structs
 
-from brookreach.coordination.state_machine.application import Context, Draft, Refusal, View
+from brookreach.coordination.state_machine.application import CommandRejectedError, Context, StagedChanges, View
 from brookreach.disruption import budgets, deadlines, halt, queue, targets
 from brookreach.disruption.budgets import KINDS, Kind
 from brookreach.disruption.commands import MOST_NAME
@@ -36,29 +36,31 @@
     return row.life if isinstance(row, NodeRow) else row.session
 
 
-def ask(draft: Draft, context: Context, name: str, what: What, target: str, urgency: int, reason: str) -> PermitRow:
-    """Puts it in the queue and gives whatever can be given now; raises Refusal.
+def ask(
+    draft: StagedChanges, context: Context, name: str, what: What, target: str, urgency: int, reason: str
+) -> PermitRow:
+    """Puts it in the queue and gives whatever can be given now; raises CommandRejectedError.
 
     The same name again changes nothing, but a higher urgency is taken while it waits.
     """
     kind = kind_of(what)
     row = budgets.target(draft, kind, target)
     if not 0 < len(name) <= MOST_NAME:
-        raise Refusal(f"a permit's name of {len(name)} characters; 1 to {MOST_NAME} are allowed")
+        raise CommandRejectedError(f"a permit's name of {len(name)} characters; 1 to {MOST_NAME} are allowed")
     if row is None or row.standing == "gone":
-        raise Refusal(f"{what} {name}: no {kind} {target!r} is in the fleet")
+        raise CommandRejectedError(f"{what} {name}: no {kind} {target!r} is in the fleet")
     if budgets.limit(draft, kind, "all") is None:
-        raise Refusal(f"{what} {name}: {kind}s have no budget for scope all, so none may go")
+        raise CommandRejectedError(f"{what} {name}: {kind}s have no budget for scope all, so none may go")
     old: PermitRow | None = draft.get(PERMITS, name)
     if old is None:
         for one, permit in targets.permits_of(draft, kind, target):
             if permit.what == what and what != "move":
-                raise Refusal(f"{what} {name}: {target} has {one} already, by {permit.by}, {permit.state}")
-        made = PermitRow(what, target, context.by, urgency, context.at_ms, "waiting", reason=reason)
+                raise CommandRejectedError(f"{what} {name}: {target} has {one} already, by {permit.by}, {permit.state}")
+        made = PermitRow(what, target, context.client, urgency, context.now_ms, "waiting", reason=reason)
     elif (old.what, old.target) != (what, target):
-        raise Refusal(f"{name} stands for the {old.what} of {old.target}, {old.state}: take another name")
+        raise CommandRejectedError(f"{name} stands for the {old.what} of {old.target}, {old.state}: take another name")
     elif old.state in OVER:
-        raise Refusal(f"{name} is over: {old.state} at {old.ended_ms} ms; asking again needs a new name")
+        raise CommandRejectedError(f"{name} is over: {old.state} at {old.ended_ms} ms; asking again needs a new name")
     elif old.state != "waiting" or urgency <= old.urgency:
         return old
     else:
@@ -76,14 +78,16 @@
     return asked
 
 
-def ask_all(draft: Draft, context: Context, what: What, wanted: Mapping[str, str], urgency: int, reason: str) -> bool:
+def ask_all(
+    draft: StagedChanges, context: Context, what: What, wanted: Mapping[str, str], urgency: int, reason: str
+) -> bool:
     """All of `wanted` (permit's name: target) given in this record, or nothing changed."""
-    trial = Draft(draft)
+    trial = StagedChanges(draft)
     for name in sorted(wanted):
         ask(trial, context, name, what, wanted[name], urgency, reason)
     if any(trial.get(PERMITS, name).state != "given" for name in wanted):
         return False
-    draft.take(trial.puts())
+    draft.take(trial.updates())
     return True
 
 
@@ -93,33 +97,33 @@
     return found if found is not None and found.state == "given" else None
 
 
-def done(draft: Draft, context: Context, name: str) -> None:
+def done(draft: StagedChanges, context: Context, name: str) -> None:
     """A move is over: the gang's member runs again."""
     permit = _standing(draft, name)
     if permit.what != "move":
-        raise Refusal(f"{name} is a {permit.what}: it ends when {permit.target} is seen ready and warm")
+        raise CommandRejectedError(f"{name} is a {permit.what}: it ends when {permit.target} is seen ready and warm")
     _over(draft, context, name, "ended", permit.reason)
     serve(draft, context)
 
 
-def take_back(draft: Draft, context: Context, name: str, reason: str) -> None:
+def take_back(draft: StagedChanges, context: Context, name: str, reason: str) -> None:
     """Out of the queue, or on its way back. What was given counts as out until its target is seen back."""
     permit = _standing(draft, name)
     if permit.state == "waiting":
         _over(draft, context, name, "taken back", reason)
     elif permit.back or permit.state == "returning":
-        raise Refusal(f"{name} is on its way back already")
+        raise CommandRejectedError(f"{name} is on its way back already")
     else:
         changed = structs.replace(permit, state="returning", back=context.index, reason=reason)
         draft.put(PERMITS, name, changed)  # counts as out before and after
 
 
-def _standing(draft: Draft, name: str) -> PermitRow:
+def _standing(draft: StagedChanges, name: str) -> PermitRow:
     permit: PermitRow | None = draft.get(PERMITS, name)
     if permit is None:
-        raise Refusal(f"no permit is named {name}")
+        raise CommandRejectedError(f"no permit is named {name}")
     if permit.state in OVER:
-        raise Refusal(f"{name} is over: {permit.state} at {permit.ended_ms} ms")
+        raise CommandRejectedError(f"{name} is over: {permit.state} at {permit.ended_ms} ms")
     return permit
 
 
@@ -131,7 +135,7 @@
     return life(row) > permit.life or (permit.back > 0 and heard >= permit.back)
 
 
-def seen(draft: Draft, context: Context, kind: Kind, name: str, heard: int) -> None:
+def seen(draft: StagedChanges, context: Context, kind: Kind, name: str, heard: int) -> None:
     """The target was seen as its row now says; `heard` is the log's place up to which its agent knew."""
     row = budgets.target(draft, kind, name)
     assert row is not None
@@ -144,14 +148,14 @@
             draft.put(PERMITS, one, structs.replace(permit, state="returning"))
 
 
-def gone(draft: Draft, context: Context, kind: Kind, name: str, reason: str) -> None:
+def gone(draft: StagedChanges, context: Context, kind: Kind, name: str, reason: str) -> None:
     """The target is no longer of the fleet. Moves off it go on: their gangs end them."""
     for one, permit in targets.permits_of(draft, kind, name):
         if permit.what != "move":
             _over(draft, context, one, "ended" if permit.state in OUT else "taken back", reason)
 
 
-def late(draft: Draft, context: Context, name: str) -> None:
+def late(draft: StagedChanges, context: Context, name: str) -> None:
     """It was given long ago. It counts as out as before; only claims no longer wait for it."""
     permit: PermitRow | None = draft.get(PERMITS, name)
     if permit is None or permit.state not in OUT:
@@ -162,7 +166,7 @@
     targets.lay(draft, kind, permit.target)
 
 
-def serve(draft: Draft, context: Context) -> None:
+def serve(draft: StagedChanges, context: Context) -> None:
     """Gives what can be given. To be called after whatever may have made room."""
     stands = halt.halted(draft)
     if stands is not None and not stands.way_back:
@@ -171,25 +175,25 @@
     for kind in KINDS:
         for wait in queue.turns(draft, kind, stands is not None):
             if not left:
-                deadlines.at(draft, context.at_ms, deadlines.SERVE, "all")
+                deadlines.at(draft, context.now_ms, deadlines.SERVE, "all")
                 return
             _give(draft, context, kind, wait)
             left -= 1
 
 
-def _give(draft: Draft, context: Context, kind: Kind, wait: WaitRow) -> None:
+def _give(draft: StagedChanges, context: Context, kind: Kind, wait: WaitRow) -> None:
     row = budgets.target(draft, kind, wait.target)
     assert row is not None
     targets.lift(draft, kind, wait.target)
     name = wait.name or _restart(draft, context, wait.target)
     permit: PermitRow = draft.get(PERMITS, name)
-    changed = structs.replace(permit, state="given", fence=context.index, given_ms=context.at_ms, life=life(row))
+    changed = structs.replace(permit, state="given", fence=context.index, given_ms=context.now_ms, life=life(row))
     draft.put(PERMITS, name, changed)
     targets.lay(draft, kind, wait.target)
-    deadlines.at(draft, context.at_ms + LATE_MS, deadlines.LATE, name)
+    deadlines.at(draft, context.now_ms + LATE_MS, deadlines.LATE, name)
 
 
-def _restart(draft: Draft, context: Context, node: str) -> str:
+def _restart(draft: StagedChanges, context: Context, node: str) -> str:
     """The permit of a restart that a release wants, made when its turn comes: so thousands wait cheaply."""
     standing, assign = targets.opened(draft, "node", node), draft.get(ASSIGNED, node)
     urgency = targets.BACK_URGENCY if standing.back else targets.ON_URGENCY
@@ -203,11 +207,13 @@
     return name
 
 
-def _over(draft: Draft, context: Context, name: str, state: Literal["ended", "taken back"], reason: str) -> None:
+def _over(
+    draft: StagedChanges, context: Context, name: str, state: Literal["ended", "taken back"], reason: str
+) -> None:
     permit: PermitRow = draft.get(PERMITS, name)
     kind = kind_of(permit.what)
     targets.lift(draft, kind, permit.target)
-    ended = structs.replace(permit, state=state, ended_ms=context.at_ms, reason=reason)
+    ended = structs.replace(permit, state=state, ended_ms=context.now_ms, reason=reason)
     draft.put(PERMITS, name, ended)
     standing = targets.opened(draft, kind, permit.target)
     names = tuple(one for one in standing.names if one != name)
@@ -215,4 +221,4 @@
     targets.lay(draft, kind, permit.target)
     if permit.state in OUT:
         deadlines.off(draft, permit.given_ms + LATE_MS, deadlines.LATE, name)
-    deadlines.at(draft, context.at_ms + KEEP_MS, deadlines.FORGET, name)
+    deadlines.at(draft, context.now_ms + KEEP_MS, deadlines.FORGET, name)
--- a/brookreach/disruption/releases.py
+++ b/brookreach/disruption/releases.py
@@ -9,7 +9,7 @@
 
 from msgspec import structs
 
-from brookreach.coordination.state_machine.application import Context, Draft, Refusal, View
+from brookreach.coordination.state_machine.application import CommandRejectedError, Context, StagedChanges, View
 from brookreach.disruption import budgets, build_assignments, deadlines, halt, permits
 from brookreach.disruption.build_assignments import WAY_BACK, progress_of, release_of
 from brookreach.disruption.commands import BeginRelease, SendBack, Voted
@@ -27,7 +27,7 @@
     return 0 if release.state in WAY_BACK or not release.stage else release.caps[release.stage - 1]
 
 
-def _put(draft: Draft, release: ReleaseRow) -> None:
+def _put(draft: StagedChanges, release: ReleaseRow) -> None:
     draft.put(RELEASES, str(release.build), release)
 
 
@@ -36,26 +36,28 @@
     known, earlier = release_of(view, order.build), release_of(view, order.earlier)
     if known is not None:
         never = " and never returns" if known.state in WAY_BACK else ""
-        raise Refusal(f"build {order.build} is {known.state}{never}: release a build with another number")
+        raise CommandRejectedError(f"build {order.build} is {known.state}{never}: release a build with another number")
     if order.build == order.earlier or (earlier is not None and earlier.state != "released"):
         what = earlier.state if earlier else "the same"
-        raise Refusal(f"earlier build {order.earlier} is {what}: one that runs well is needed to go back to")
+        raise CommandRejectedError(
+            f"earlier build {order.earlier} is {what}: one that runs well is needed to go back to"
+        )
     for _, other in ordered(view, RELEASES):
         if other.state not in ("released", "sent back"):
-            raise Refusal(f"build {other.build} is {other.state}: one release at a time")
+            raise CommandRejectedError(f"build {other.build} is {other.state}: one release at a time")
 
 
-def begin(draft: Draft, order: BeginRelease, context: Context) -> None:
+def begin(draft: StagedChanges, order: BeginRelease, context: Context) -> None:
     stands = halt.halted(draft)
     if stands is not None:
-        raise Refusal(f"halt {stands.fence} by {stands.by} stands ({stands.reason}): no stage opens")
+        raise CommandRejectedError(f"halt {stands.fence} by {stands.by} stands ({stands.reason}): no stage opens")
     may_begin(draft, order)
     if len(order.caps) != len(order.shares):
-        raise Refusal(f"{len(order.caps)} caps for {len(order.shares)} shares: one for each stage")
+        raise CommandRejectedError(f"{len(order.caps)} caps for {len(order.shares)} shares: one for each stage")
     if list(order.shares) != sorted(set(order.shares)) or order.shares[-1] != 1000:
-        raise Refusal(f"shares {list(order.shares)}: each greater than the one before, the last 1000")
+        raise CommandRejectedError(f"shares {list(order.shares)}: each greater than the one before, the last 1000")
     if not budgets.count(draft, "node", "all").total or budgets.limit(draft, "node", "all") is None:
-        raise Refusal("no node is known, or nodes have no budget for scope all: none could restart")
+        raise CommandRejectedError("no node is known, or nodes have no budget for scope all: none could restart")
     release = ReleaseRow(
         order.build,
         order.earlier,
@@ -63,7 +65,7 @@
         order.caps,
         "on",
         0,
-        context.at_ms,
+        context.now_ms,
         order.wait_ms,
         order.back_votes,
         order.on_votes,
@@ -74,9 +76,9 @@
     permits.serve(draft, context)
 
 
-def _open(draft: Draft, context: Context, release: ReleaseRow) -> None:
+def _open(draft: StagedChanges, context: Context, release: ReleaseRow) -> None:
     """The next stage."""
-    release = structs.replace(release, stage=release.stage + 1, since_ms=context.at_ms)
+    release = structs.replace(release, stage=release.stage + 1, since_ms=context.now_ms)
     _put(draft, release)
     progress = progress_of(draft, release.build)
     nodes = build_assignments.share(release.shares[release.stage - 1], budgets.count(draft, "node", "all").total)
@@ -86,14 +88,14 @@
     check(draft, context, release.build)
 
 
-def touched(draft: Draft, context: Context, builds: set[int], node: str) -> None:
+def touched(draft: StagedChanges, context: Context, builds: set[int], node: str) -> None:
     """The node changed; it ran or runs one of `builds`."""
     assign: AssignRow | None = draft.get(ASSIGNED, node)
     for build in sorted(builds | ({assign.release} if assign else set())):
         check(draft, context, build)
 
 
-def check(draft: Draft, context: Context, build: int) -> None:
+def check(draft: StagedChanges, context: Context, build: int) -> None:
     """Whether the stage is whole, for how long, and what follows from it."""
     release = release_of(draft, build)
     if release is None:
@@ -101,8 +103,8 @@
     progress = progress_of(draft, build)
     if release.state == "going back":
         if not progress.drawing and not budgets.count(draft, "node", f"build:{build}").total:
-            _put(draft, structs.replace(release, state="sent back", since_ms=context.at_ms))
-            deadlines.at(draft, context.at_ms + permits.KEEP_MS, deadlines.VOTES, str(build))
+            _put(draft, structs.replace(release, state="sent back", since_ms=context.now_ms))
+            deadlines.at(draft, context.now_ms + permits.KEEP_MS, deadlines.VOTES, str(build))
         return
     if release.state != "on" or halt.halted(draft) is not None:
         return
@@ -110,28 +112,28 @@
         draft.put(PROGRESS, str(build), structs.replace(progress, there_ms=0))
         return
     if not progress.there_ms:
-        progress = structs.replace(progress, there_ms=context.at_ms)
+        progress = structs.replace(progress, there_ms=context.now_ms)
         draft.put(PROGRESS, str(build), progress)
-        deadlines.at(draft, context.at_ms + release.wait_ms, deadlines.STAGE, str(build))
-    if context.at_ms < progress.there_ms + release.wait_ms or progress.on < release.on_votes:
+        deadlines.at(draft, context.now_ms + release.wait_ms, deadlines.STAGE, str(build))
+    if context.now_ms < progress.there_ms + release.wait_ms or progress.on < release.on_votes:
         return
     if release.stage < len(release.shares):
         _open(draft, context, release)
         return
-    _put(draft, structs.replace(release, state="released", since_ms=context.at_ms))
-    deadlines.at(draft, context.at_ms + permits.KEEP_MS, deadlines.VOTES, str(build))
+    _put(draft, structs.replace(release, state="released", since_ms=context.now_ms))
+    deadlines.at(draft, context.now_ms + permits.KEEP_MS, deadlines.VOTES, str(build))
 
 
-def voted(draft: Draft, order: Voted, context: Context) -> None:
+def voted(draft: StagedChanges, order: Voted, context: Context) -> None:
     """One voice a marshal. A back vote counts whatever stage it was meant for, an on vote in the one open."""
     release = release_of(draft, order.build)
     if release is None or release.state not in ("on", "halted"):
         state = release.state if release else "in no release"
-        raise Refusal(f"build {order.build} is {state}: no vote is open")
+        raise CommandRejectedError(f"build {order.build} is {state}: no vote is open")
     if order.stage > release.stage or (order.stage < release.stage and order.verdict != "back"):
         what = f"{order.verdict} for stage {order.stage} of build {order.build}"
-        raise Refusal(f"{what}: stage {release.stage} is open")
-    key = f"{order.build}/{context.by}"
+        raise CommandRejectedError(f"{what}: stage {release.stage} is open")
+    key = f"{order.build}/{context.client}"
     old: VoteRow | None = draft.get(VOTES, key)
     if old is not None and old.verdict == "back":
         return
@@ -142,7 +144,7 @@
     draft.put(VOTES, key, VoteRow(order.stage, order.verdict, context.session))
     draft.put(PROGRESS, str(order.build), progress)
     if progress.back >= release.back_votes:
-        reason = f"build {order.build}: {progress.back} marshals voted back, the last {context.by}"
+        reason = f"build {order.build}: {progress.back} marshals voted back, the last {context.client}"
         halt.halt(draft, context, "verdict", reason, way_back=True)
         _back(draft, context, release, reason)
     else:
@@ -150,23 +152,25 @@
     permits.serve(draft, context)
 
 
-def send_back(draft: Draft, order: SendBack, context: Context) -> None:
+def send_back(draft: StagedChanges, order: SendBack, context: Context) -> None:
     """From any stage, also after the last. Never to a build that was sent back itself: no circle."""
     release = release_of(draft, order.build)
     if release is None or release.state in WAY_BACK:
-        raise Refusal(f"build {order.build} is {release.state if release else 'in no release'}")
+        raise CommandRejectedError(f"build {order.build} is {release.state if release else 'in no release'}")
     for _, other in ordered(draft, RELEASES):
         if other.fence > release.fence and other.state != "sent back":
-            raise Refusal(f"build {other.build} came after it and is {other.state}: send that back first")
+            raise CommandRejectedError(f"build {other.build} came after it and is {other.state}: send that back first")
     earlier = release_of(draft, release.earlier)
     if earlier is not None and earlier.state in WAY_BACK:
-        raise Refusal(f"its earlier build {earlier.build} is {earlier.state}: release a good build instead")
-    _back(draft, context, release, f"sent back by {context.by}: {order.reason}")
+        raise CommandRejectedError(
+            f"its earlier build {earlier.build} is {earlier.state}: release a good build instead"
+        )
+    _back(draft, context, release, f"sent back by {context.client}: {order.reason}")
     permits.serve(draft, context)
 
 
-def _back(draft: Draft, context: Context, release: ReleaseRow, reason: str) -> None:
-    _put(draft, structs.replace(release, state="going back", since_ms=context.at_ms, reason=reason))
+def _back(draft: StagedChanges, context: Context, release: ReleaseRow, reason: str) -> None:
+    _put(draft, structs.replace(release, state="going back", since_ms=context.now_ms, reason=reason))
     progress = structs.replace(
         progress_of(draft, release.build), cursor=build_assignments.BUCKETS, drawing=True, there_ms=0
     )
@@ -175,24 +179,24 @@
     check(draft, context, release.build)
 
 
-def hold(draft: Draft) -> None:
+def hold(draft: StagedChanges) -> None:
     """A halt was agreed."""
     for _, release in ordered(draft, RELEASES):
         if release.state == "on":
             _put(draft, structs.replace(release, state="halted"))
 
 
-def go_on(draft: Draft, context: Context) -> None:
+def go_on(draft: StagedChanges, context: Context) -> None:
     """The halt was lifted. The wait begins anew: nobody knows what went on meanwhile."""
     for _, release in ordered(draft, RELEASES):
         if release.state == "halted":
-            _put(draft, structs.replace(release, state="on", since_ms=context.at_ms))
+            _put(draft, structs.replace(release, state="on", since_ms=context.now_ms))
             progress = structs.replace(progress_of(draft, release.build), there_ms=0)
             draft.put(PROGRESS, str(release.build), progress)
             more(draft, context, release.build)
 
 
-def more(draft: Draft, context: Context, build: int) -> None:
+def more(draft: StagedChanges, context: Context, build: int) -> None:
     """The next batch of a stage, or of the way back."""
     release = release_of(draft, build)
     if release is not None and release.state == "on":
@@ -202,10 +206,10 @@
     check(draft, context, build)
 
 
-def forget(draft: Draft, context: Context, build: int) -> None:
+def forget(draft: StagedChanges, context: Context, build: int) -> None:
     """Voices of a release that has been over for long; its row stays."""
     for nth, (key, _) in enumerate(list(ordered(draft, VOTES, f"{build}/"))):
         if nth == MOST_FORGOTTEN:
-            deadlines.at(draft, context.at_ms, deadlines.VOTES, str(build))
+            deadlines.at(draft, context.now_ms, deadlines.VOTES, str(build))
             return
         draft.put(VOTES, key, None)
--- a/brookreach/disruption/targets.py
+++ b/brookreach/disruption/targets.py
@@ -11,7 +11,7 @@
 
 from msgspec import structs
 
-from brookreach.coordination.state_machine.application import Draft, View
+from brookreach.coordination.state_machine.application import StagedChanges, View
 from brookreach.disruption import budgets
 from brookreach.disruption.budgets import Kind
 from brookreach.disruption.internal_tables import (
@@ -46,7 +46,7 @@
     return found or OpenRow()
 
 
-def put_opened(draft: Draft, kind: Kind, name: str, row: OpenRow) -> None:
+def put_opened(draft: StagedChanges, kind: Kind, name: str, row: OpenRow) -> None:
     draft.put(OPEN, f"{kind}/{name}", row if row.names or row.move else None)
 
 
@@ -59,11 +59,11 @@
     return row.standing != "ready" or any(permit.state in OUT for _, permit in permits)
 
 
-def lift(draft: Draft, kind: Kind, name: str) -> None:
+def lift(draft: StagedChanges, kind: Kind, name: str) -> None:
     _weigh(draft, kind, name, -1)
 
 
-def lay(draft: Draft, kind: Kind, name: str) -> None:
+def lay(draft: StagedChanges, kind: Kind, name: str) -> None:
     _weigh(draft, kind, name, 1)
 
 
@@ -75,7 +75,7 @@
     return hashlib.sha256(node.encode()).hexdigest()[:2]
 
 
-def _weigh(draft: Draft, kind: Kind, name: str, sign: int) -> None:
+def _weigh(draft: StagedChanges, kind: Kind, name: str, sign: int) -> None:
     row = budgets.target(draft, kind, name)
     if row is None or row.standing == "gone":
         return
@@ -99,7 +99,7 @@
         _in_release(draft, name, row, sign)
 
 
-def _wait(draft: Draft, waits_in: str, at: int, wait: WaitRow, sign: int) -> None:
+def _wait(draft: StagedChanges, waits_in: str, at: int, wait: WaitRow, sign: int) -> None:
     kept: LineRow | None = draft.get(LINES, waits_in)
     waiting = (kept.waiting if kept else 0) + sign
     draft.put(LINES, waits_in, LineRow(waiting) if waiting else None)
@@ -107,7 +107,7 @@
     draft.put(WAITS, key, wait if sign > 0 else None)
 
 
-def _in_release(draft: Draft, name: str, row: NodeRow, sign: int) -> None:
+def _in_release(draft: StagedChanges, name: str, row: NodeRow, sign: int) -> None:
     """A node that was drawn counts in its stage, one that is ready and warm on the build is there."""
     assign: AssignRow | None = draft.get(ASSIGNED, name)
     if assign is None or assign.build != assign.release:
--- a/brookreach/gang_scheduling/agent/process.py
+++ b/brookreach/gang_scheduling/agent/process.py
@@ -20,16 +20,24 @@
 import anyio
 
 from brookreach.coordination import configuration
-from brookreach.coordination.client.client import NotHeld
 from brookreach.coordination.client.connection import now_ms
-from brookreach.coordination.client.events import Answered, Changed, Event, Renewed, SessionLost, Unknown
-from brookreach.coordination.client.requests import TooMany
-from brookreach.coordination.state_machine.application import Order
+from brookreach.coordination.client.events import (
+    ClientEvent,
+    LeaseRenewed,
+    OutcomeUnknown,
+    ReplyReceived,
+    RowsChanged,
+    SessionLost,
+)
+from brookreach.coordination.client.requests import TooManyRequestsError
+from brookreach.coordination.client.session_holder import SessionNotHeldError
+from brookreach.coordination.protocol.tags import wire_name
+from brookreach.coordination.state_machine.application import Command
 from brookreach.disruption.node_agent import Agent, Facts, Say
 from brookreach.gang_scheduling.agent import agent as hands
 from brookreach.gang_scheduling.agent.actions import Act, Slot
 from brookreach.gang_scheduling.agent_tasks import errands
-from brookreach.gang_scheduling.application import PIECE
+from brookreach.gang_scheduling.application import APPLICATION
 from brookreach.gang_scheduling.commands import Here
 from brookreach.gang_scheduling.tables import GANGS, HANDS, MEMBERS, PLACES, GangRow
 
@@ -53,13 +61,13 @@
 
 
 class Worker(Agent):
-    def __init__(self, facts: Facts, told: configuration.FleetFile, key: bytes, say: Say, path: Path):
-        super().__init__(facts, told, key, None, say, {name: PIECE.tables[name] for name in WATCHED})
+    def __init__(self, facts: Facts, told: configuration.ClusterConfiguration, key: bytes, say: Say, path: Path):
+        super().__init__(facts, told, key, None, say, {name: APPLICATION.tables[name] for name in WATCHED})
         now = now_ms()
         self.hands = hands.Agent(facts.name, self.life, now, told.timing.lease_ms * QUIET)
         self.works: dict[Slot, Work] = {}
         self.later: list[tuple[float, int, Callable[[], None]]] = []
-        self.asked: dict[int, Order] = {}
+        self.asked: dict[int, Command] = {}
         self.count, self.here_at, self.again_at = 0, 0.0, 0.0
         self.here = 0  # the session that has said so
         self.file = os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o644)
@@ -93,22 +101,22 @@
 
     # --- what the group says ---
 
-    def hear(self, event: Event) -> None:
+    def hear(self, event: ClientEvent) -> None:
         now = now_ms()
-        if isinstance(event, Answered | Unknown) and event.seq in self.asked:
+        if isinstance(event, ReplyReceived | OutcomeUnknown) and event.seq in self.asked:
             order = self.asked.pop(event.seq)
-            if isinstance(event, Answered) and event.ok and isinstance(order, Here):
+            if isinstance(event, ReplyReceived) and event.ok and isinstance(order, Here):
                 self.here = self.client.session
-            elif isinstance(event, Answered) and not event.ok:
-                self.say(f"{self.facts.name} {type(order).__name__}, refused: {event.text}")
+            elif isinstance(event, ReplyReceived) and not event.ok:
+                self.say(f"{self.facts.name} {wire_name(order)}, refused: {event.text}")
             return
         super().hear(event)
-        if isinstance(event, Renewed):
+        if isinstance(event, LeaseRenewed):
             self.hands.lease(now, event.session, event.until_ms)
         elif isinstance(event, SessionLost):
             self.here = 0
             self.hands.ended(now)
-        elif isinstance(event, Changed):
+        elif isinstance(event, RowsChanged):
             self._errands()
         self._flush()
 
@@ -128,11 +136,11 @@
         for order in reports:
             self._ask(order)
 
-    def _ask(self, order: Order) -> None:
+    def _ask(self, order: Command) -> None:
         """Refused, lost or late: the rows still name what it is about, so it is said again."""
         if self.client.session:
-            with contextlib.suppress(TooMany, NotHeld):
-                self.asked[self.client.ask(now_ms(), PIECE.name, order)] = order
+            with contextlib.suppress(TooManyRequestsError, SessionNotHeldError):
+                self.asked[self.client.ask(now_ms(), APPLICATION.name, order)] = order
             self.dial.stir()
 
     # --- the node ---
--- a/brookreach/gang_scheduling/application.py
+++ b/brookreach/gang_scheduling/application.py
@@ -11,7 +11,7 @@
 
 from msgspec.structs import replace
 
-from brookreach.coordination.state_machine.application import Context, Put, Refusal, Row, View
+from brookreach.coordination.state_machine.application import CommandRejectedError, Context, Row, RowUpdate, View
 from brookreach.disruption.internal_tables import first, ordered
 from brookreach.gang_scheduling import carbon_placement, checkpoint_interval, checkpoints, members, transitions
 from brookreach.gang_scheduling import commands as orders
@@ -27,7 +27,7 @@
 
 
 class Gangs:
-    """A `fleet.piece.Piece`."""
+    """A `coordination.state_machine.application.Application`."""
 
     name = "gangs"
     version = 1
@@ -47,7 +47,7 @@
     def __init__(self, permits: Permits, prefer: Prefer | None = None):
         self.permits, self.prefer = permits, prefer
 
-    def apply(self, view: View, order: Any, context: Context) -> list[Put]:
+    def apply(self, view: View, order: Any, context: Context) -> list[RowUpdate]:
         orders.permitted(order, context)
         desk = Desk(view, context, self.permits)
         touched: list[str] = []
@@ -71,15 +71,15 @@
             _look(desk, gang)
         return _changes(desk)
 
-    def due_ms(self, view: View) -> int | None:
+    def next_timer_ms(self, view: View) -> int | None:
         found = first(view, rows.DUES)
         return None if found is None else int(found[0][:16])
 
-    def passed(self, view: View, context: Context) -> list[Put]:
+    def advance_time(self, view: View, context: Context) -> list[RowUpdate]:
         desk = Desk(view, context, self.permits)
         due = []
         for key, row in ordered(view, rows.DUES):
-            if int(key[:16]) > context.at_ms:
+            if int(key[:16]) > context.now_ms:
                 break
             due.append((key, row.name))
         for key, name in due:
@@ -90,37 +90,37 @@
             elif name != ROUND and desk.draft.get(rows.GANGS, name) is not None:
                 _look(desk, name)
         sums = desk.sums()
-        if sums.round_ms and sums.round_ms <= context.at_ms:
+        if sums.round_ms and sums.round_ms <= context.now_ms:
             place_waiting(desk, self.prefer)
         return _changes(desk)
 
-    def ended(self, view: View, context: Context) -> list[Put]:
+    def end_session(self, view: View, context: Context) -> list[RowUpdate]:
         """The agent's members can't be counted on any more; what they hold is let go later (`LET_GO_MS`)."""
-        hand = view.get(rows.HANDS, context.by) if context.kind == "agent" else None
+        hand = view.get(rows.HANDS, context.client) if context.client_kind == "agent" else None
         if hand is None or hand.session != context.session:
             return []
         desk = Desk(view, context, self.permits)
-        desk.draft.put(rows.HANDS, context.by, rows.HandRow(0, hand.life, context.at_ms))
-        until = due_key(context.at_ms + members.LET_GO_MS, ROUND + context.by)
-        desk.draft.put(rows.DUES, until, rows.DueRow(ROUND + context.by))
+        desk.draft.put(rows.HANDS, context.client, rows.HandRow(0, hand.life, context.now_ms))
+        until = due_key(context.now_ms + members.LET_GO_MS, ROUND + context.client)
+        desk.draft.put(rows.DUES, until, rows.DueRow(ROUND + context.client))
         fallen: dict[str, list[int]] = {}
-        for gang, number in desk.on_node(context.by):
+        for gang, number in desk.on_node(context.client):
             member = desk.member(gang, number)
             spot = members.live(member)
-            if member.node == context.by or (spot and spot.node == context.by and member.state != "fencing"):
+            if member.node == context.client or (spot and spot.node == context.client and member.state != "fencing"):
                 fallen.setdefault(gang, []).append(number)
-            elif member.next_node == context.by:
+            elif member.next_node == context.client:
                 desk.put_member(gang, number, replace(member, next_node="", next_life=0))
         for gang, numbers in fallen.items():
-            transitions.lost(desk, gang, numbers, f"the agent of {context.by} is gone", gone=False)
+            transitions.lost(desk, gang, numbers, f"the agent of {context.client} is gone", gone=False)
             _look(desk, gang)
         return _changes(desk)
 
 
-def _changes(desk: Desk) -> list[Put]:
+def _changes(desk: Desk) -> list[RowUpdate]:
     """Without what was put back as it was."""
     draft = desk.draft
-    return [put for put in draft.puts() if draft.under.get(put.table, put.key) != put.row]
+    return [put for put in draft.updates() if draft.under.get(put.table, put.key) != put.row]
 
 
 def _look(desk: Desk, gang: str) -> None:
@@ -152,7 +152,7 @@
 def _submit(desk: Desk, order: orders.Submit) -> None:
     orders.proper(order, desk.now)
     if desk.draft.get(rows.GANGS, order.gang) is not None:
-        raise Refusal(f"{order.gang}: a gang of this name stands; Cancel takes an ended one away")
+        raise CommandRejectedError(f"{order.gang}: a gang of this name stands; Cancel takes an ended one away")
     row = rows.GangRow(
         order.members,
         order.room,
@@ -167,11 +167,11 @@
         desk.now,
         submitted_ms=desk.now,
         order=desk.index,
-        reason=f"submitted by {desk.context.by}",
+        reason=f"submitted by {desk.context.client}",
     )
     places, nodes = ever(desk.draft, row)
     if places < order.members:
-        raise Refusal(
+        raise CommandRejectedError(
             f"{order.gang}: {order.members} members of room {order.room} can never run together: {nodes}"
             f" nodes of zones {list(row.zones) or 'all'} and builds {list(row.builds) or 'all'} hold {places}"
             " of them empty"
@@ -182,27 +182,29 @@
 def _cancel(desk: Desk, order: orders.Cancel) -> None:
     row = desk.gang(order.gang)
     if row.state not in ("done", "failed"):
-        transitions.over(desk, order.gang, "failed", f"cancelled by {desk.context.by}: {order.reason}")
+        transitions.over(desk, order.gang, "failed", f"cancelled by {desk.context.client}: {order.reason}")
         return
     living = sorted({spot.node for _, one in desk.members(order.gang) if (spot := members.live(one))})
     if living:
-        raise Refusal(f"{order.gang}: {row.state}, and still being stopped on {', '.join(living)}")
+        raise CommandRejectedError(f"{order.gang}: {row.state}, and still being stopped on {', '.join(living)}")
     desk.remove(order.gang)
 
 
 def _here(desk: Desk, order: orders.Here) -> list[str]:
     """One session of a node's agent at a time; the next only after the one before has ended."""
-    by, session = desk.context.by, desk.context.session
+    by, session = desk.context.client, desk.context.session
     node, hand = desk.node(by), desk.draft.get(rows.HANDS, by)
     if node is None or node.life != order.life:
         known = "no such node" if node is None else f"its life is {node.life}"
-        raise Refusal(f"{by}: life {order.life}; {known}")
+        raise CommandRejectedError(f"{by}: life {order.life}; {known}")
     if hand is not None and hand.session and hand.session != session:
-        raise Refusal(f"{by}: session {hand.session} carries out its orders and has not ended")
+        raise CommandRejectedError(f"{by}: session {hand.session} carries out its orders and has not ended")
     if hand is not None and hand.session == session and hand.life == order.life:
         return []
     if hand is not None and hand.session:
-        raise Refusal(f"{by}: session {session} spoke for life {hand.life}; life {order.life} begins its own")
+        raise CommandRejectedError(
+            f"{by}: session {session} spoke for life {hand.life}; life {order.life} begins its own"
+        )
     gangs = _released(desk, by)
     desk.draft.put(rows.HANDS, by, rows.HandRow(session, order.life))
     if desk.draft.under.count(rows.QUEUE):
@@ -228,7 +230,7 @@
 def _member(desk: Desk, order: orders.Started | orders.Stopped | orders.Failed) -> bool:
     """What the agent of a node says of one member there; False: the same again, which changes nothing."""
     desk.hand()
-    by, member = desk.context.by, desk.member(order.gang, order.member)
+    by, member = desk.context.client, desk.member(order.gang, order.member)
     where = f"{order.gang}/{order.member}"
     desk.gang(order.gang)
     leaves = member.state == "fencing" and member.old_node == by and order.fence >= member.old_fence
@@ -237,7 +239,7 @@
         return True
     spot = members.live(member)
     if spot is None or spot.node != by or spot.fence != order.fence:
-        raise Refusal(f"{where}: fence {order.fence} on {by} is not where it runs; nothing changes")
+        raise CommandRejectedError(f"{where}: fence {order.fence} on {by} is not where it runs; nothing changes")
     if isinstance(order, orders.Started):
         if member.state != "starting":
             return False
@@ -255,8 +257,8 @@
     """By an agent that runs a member of it."""
     desk.hand()
     row = desk.gang(order.gang)
-    if not any(one.node == desk.context.by for _, one in desk.members(order.gang)):
-        raise Refusal(f"{order.gang}: no member of it is on {desk.context.by}")
+    if not any(one.node == desk.context.client for _, one in desk.members(order.gang)):
+        raise CommandRejectedError(f"{order.gang}: no member of it is on {desk.context.client}")
     desk.change(
         order.gang,
         cost_ms=checkpoint_interval.measured(row.cost_ms, order.cost_ms),
@@ -264,4 +266,4 @@
     )
 
 
-PIECE = Gangs(Agreed(), carbon_placement.prefer)
+APPLICATION = Gangs(Agreed(), carbon_placement.prefer)
--- a/brookreach/gang_scheduling/checkpoints.py
+++ b/brookreach/gang_scheduling/checkpoints.py
@@ -8,7 +8,7 @@
 
 from msgspec.structs import replace
 
-from brookreach.coordination.state_machine.application import Refusal
+from brookreach.coordination.state_machine.application import CommandRejectedError
 from brookreach.gang_scheduling import transitions
 from brookreach.gang_scheduling.commands import Confirmed
 from brookreach.gang_scheduling.migration import leaves_ms
@@ -26,23 +26,27 @@
 
 
 def confirm(desk: Desk, order: Confirmed) -> bool:
-    """One member's part; False: said before. Raises Refusal for another epoch, fence or node than was
+    """One member's part; False: said before. Raises CommandRejectedError for another epoch, fence or node than was
     asked.
     """
     row, member = desk.gang(order.gang), desk.member(order.gang, order.member)
     hand, where = desk.hand(), f"{order.gang}/{order.member}"
     if row.state != "checkpointing" or order.epoch != row.asked_epoch:
-        raise Refusal(f"{where}: epoch {order.epoch} is not asked for; {row.state}, last {row.asked_epoch}")
+        raise CommandRejectedError(
+            f"{where}: epoch {order.epoch} is not asked for; {row.state}, last {row.asked_epoch}"
+        )
     told = order.node, order.life, order.fence
     if member.state != "running" or told != (member.node, member.life, member.fence):
-        raise Refusal(
+        raise CommandRejectedError(
             f"{where}: confirmed by {order.node} life {order.life} fence {order.fence}; it runs on"
             f" {member.node or 'no node'} life {member.life} fence {member.fence}, {member.state}"
         )
-    if desk.context.by != order.node or hand.life != order.life:
-        raise Refusal(f"{where}: {desk.context.by!r} life {hand.life} speaks for {order.node} {order.life}")
+    if desk.context.client != order.node or hand.life != order.life:
+        raise CommandRejectedError(
+            f"{where}: {desk.context.client!r} life {hand.life} speaks for {order.node} {order.life}"
+        )
     if order.work_ms < row.kept_ms:
-        raise Refusal(f"{where}: work_ms: {order.work_ms}; epoch {row.epoch} already kept {row.kept_ms}")
+        raise CommandRejectedError(f"{where}: work_ms: {order.work_ms}; epoch {row.epoch} already kept {row.kept_ms}")
     if member.epoch == order.epoch:
         return False
     desk.put_member(order.gang, order.member, replace(member, epoch=order.epoch, work_ms=order.work_ms))
--- a/brookreach/gang_scheduling/commands.py
+++ b/brookreach/gang_scheduling/commands.py
@@ -7,7 +7,8 @@
 import msgspec
 
 from brookreach.coordination.protocol.messages import Count, Name, Text
-from brookreach.coordination.state_machine.application import Context, Order, Refusal
+from brookreach.coordination.protocol.tags import wire_name
+from brookreach.coordination.state_machine.application import Command, CommandRejectedError, Context
 
 MOST_MEMBERS, MOST_ROOM, MOST_MS = 256, 1 << 32, 1 << 41  # the last: some seventy years
 
@@ -19,7 +20,7 @@
 Gang = Annotated[str, msgspec.Meta(min_length=1, max_length=64, pattern=r"^[A-Za-z0-9._-]+\Z")]
 
 
-class Submit(Order, frozen=True):
+class Submit(Command, frozen=True):
     """A new gang. `deadline_ms` 0: none. `flexible`: it may wait, and move, for cleaner power."""
 
     gang: Gang
@@ -34,20 +35,20 @@
     flexible: bool = False
 
 
-class Cancel(Order, frozen=True):
+class Cancel(Command, frozen=True):
     """An operator ends a gang; of one that has ended it takes the rows away."""
 
     gang: Gang
     reason: Text
 
 
-class Here(Order, frozen=True):
+class Here(Command, frozen=True):
     """A node's agent: this session of mine carries out orders, and nothing of an earlier one works."""
 
     life: Count
 
 
-class Confirmed(Order, frozen=True):
+class Confirmed(Command, frozen=True):
     """An agent: the member's part of this epoch is kept, away from the node."""
 
     gang: Gang
@@ -59,7 +60,7 @@
     work_ms: Moment
 
 
-class Started(Order, frozen=True):
+class Started(Command, frozen=True):
     """An agent: loaded, and waits for the others."""
 
     gang: Gang
@@ -67,7 +68,7 @@
     fence: Count
 
 
-class Stopped(Order, frozen=True):
+class Stopped(Command, frozen=True):
     """An agent: no incarnation up to this fence works on this node, nor ever will."""
 
     gang: Gang
@@ -75,7 +76,7 @@
     fence: Count
 
 
-class Failed(Order, frozen=True):
+class Failed(Command, frozen=True):
     """An agent: it ended by itself."""
 
     gang: Gang
@@ -84,7 +85,7 @@
     reason: Text
 
 
-class Measured(Order, frozen=True):
+class Measured(Command, frozen=True):
     """An agent: what a checkpoint and a load really cost; 0 for what was not measured."""
 
     gang: Gang
@@ -92,7 +93,7 @@
     load_ms: Moment
 
 
-class Noticed(Order, frozen=True):
+class Noticed(Command, frozen=True):
     """Anybody: this node's row has changed, look at the gangs on it now. It says nothing of its own."""
 
     node: Name
@@ -103,16 +104,16 @@
 
 
 def permitted(order: Orders, context: Context) -> None:
-    """Raises Refusal where this client may not say that."""
-    who = f"{context.by!r} is {context.kind or 'the group'}"
-    if isinstance(order, BY_OPERATORS) and context.kind != "operator":
-        raise Refusal(f"{type(order).__name__} is for operators; {who}")
-    if isinstance(order, BY_AGENTS) and context.kind != "agent":
-        raise Refusal(f"{type(order).__name__} is for agents; {who}")
+    """Raises CommandRejectedError where this client may not say that."""
+    who = f"{context.client!r} is {context.client_kind or 'the group'}"
+    if isinstance(order, BY_OPERATORS) and context.client_kind != "operator":
+        raise CommandRejectedError(f"{wire_name(order)} is for operators; {who}")
+    if isinstance(order, BY_AGENTS) and context.client_kind != "agent":
+        raise CommandRejectedError(f"{wire_name(order)} is for agents; {who}")
 
 
 def proper(order: Submit, now: int) -> None:
-    """Raises Refusal with what stands there and what is allowed, beyond what each field's bounds say."""
+    """Raises CommandRejectedError with what stands there and what is allowed, beyond what each field's bounds say."""
     bounds = (
         ("members", order.members, MOST_MEMBERS),
         ("room", order.room, MOST_ROOM),
@@ -122,10 +123,12 @@
     )
     for name, value, most in bounds:
         if not 1 <= value <= most:
-            raise Refusal(f"{order.gang}: {name}: {value}; 1 to {most} are allowed")
+            raise CommandRejectedError(f"{order.gang}: {name}: {value}; 1 to {most} are allowed")
     least = now + order.work_ms + order.load_ms
     if order.deadline_ms and order.deadline_ms < least:
-        raise Refusal(f"{order.gang}: deadline_ms: {order.deadline_ms}; with work and load {least} is the soonest")
+        raise CommandRejectedError(
+            f"{order.gang}: deadline_ms: {order.deadline_ms}; with work and load {least} is the soonest"
+        )
     for name, told in (("zones", order.zones), ("builds", order.builds)):
         if len(set(told)) != len(told):
-            raise Refusal(f"{order.gang}: {name}: {list(told)}; each may stand there once")
+            raise CommandRejectedError(f"{order.gang}: {name}: {list(told)}; each may stand there once")
--- a/brookreach/gang_scheduling/disruption_permits.py
+++ b/brookreach/gang_scheduling/disruption_permits.py
@@ -8,7 +8,7 @@
 
 from typing import Protocol
 
-from brookreach.coordination.state_machine.application import Context, Draft, Refusal
+from brookreach.coordination.state_machine.application import CommandRejectedError, Context, StagedChanges
 from brookreach.disruption import permits
 from brookreach.disruption.tables import PERMITS, PermitRow
 
@@ -16,15 +16,15 @@
 class Permits(Protocol):
     """What gangs need of it; the drill's own budget is another."""
 
-    def ask(self, draft: Draft, context: Context, name: str, node: str, urgency: int, reason: str) -> str:
+    def ask(self, draft: StagedChanges, context: Context, name: str, node: str, urgency: int, reason: str) -> str:
         """Wait for a permit to move what runs on this node. Why it can't even wait, or ""."""
         ...
 
-    def given_ms(self, draft: Draft, name: str) -> int:
+    def given_ms(self, draft: StagedChanges, name: str) -> int:
         """Since when it is given; 0: it waits; -1: it stands no more, and is to be asked for anew."""
         ...
 
-    def end(self, draft: Draft, context: Context, name: str, reason: str) -> None:
+    def end(self, draft: StagedChanges, context: Context, name: str, reason: str) -> None:
         """The move is over, or not wanted any more."""
         ...
 
@@ -32,20 +32,20 @@
 class Agreed:
     """By the budgets, queue and halts of `brookreach.disruption`."""
 
-    def ask(self, draft: Draft, context: Context, name: str, node: str, urgency: int, reason: str) -> str:
+    def ask(self, draft: StagedChanges, context: Context, name: str, node: str, urgency: int, reason: str) -> str:
         try:
             permits.ask(draft, context, name, "move", node, urgency, reason)
-        except Refusal as refusal:
+        except CommandRejectedError as refusal:
             return str(refusal)
         return ""
 
-    def given_ms(self, draft: Draft, name: str) -> int:
+    def given_ms(self, draft: StagedChanges, name: str) -> int:
         row: PermitRow | None = draft.get(PERMITS, name)
         if row is None or row.state not in ("waiting", "given"):
             return -1
         return max(1, row.given_ms) if row.state == "given" else 0
 
-    def end(self, draft: Draft, context: Context, name: str, reason: str) -> None:
+    def end(self, draft: StagedChanges, context: Context, name: str, reason: str) -> None:
         row: PermitRow | None = draft.get(PERMITS, name)
         if row is not None and row.state == "waiting":
             permits.take_back(draft, context, name, reason)
@@ -58,7 +58,7 @@
     return f"gangs:{gang}:{fence}.{member}"
 
 
-def node_of(draft: Draft, name: str) -> str:
+def node_of(draft: StagedChanges, name: str) -> str:
     """The node that it is for; "" where it stands no more."""
     row: PermitRow | None = draft.get(PERMITS, name)
     return row.target if row is not None else ""
--- a/brookreach/gang_scheduling/gang_file.py
+++ b/brookreach/gang_scheduling/gang_file.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from brookreach.coordination.state_machine.application import Refusal
+from brookreach.coordination.state_machine.application import CommandRejectedError
 from brookreach.files import BadFile, checked, read_toml
 from brookreach.gang_scheduling import commands
 from brookreach.gang_scheduling.commands import Gang, Members, Room, Span, Submit
@@ -53,7 +53,7 @@
         order = _order(one)
         try:
             commands.proper(order, now_ms)
-        except Refusal as refusal:
+        except CommandRejectedError as refusal:
             errors.append(f"{where}: {refusal}")
         made.append(order)
     if errors:
--- a/brookreach/gang_scheduling/transaction.py
+++ b/brookreach/gang_scheduling/transaction.py
@@ -12,7 +12,7 @@
 
 from msgspec.structs import replace
 
-from brookreach.coordination.state_machine.application import Context, Draft, Refusal, View
+from brookreach.coordination.state_machine.application import CommandRejectedError, Context, StagedChanges, View
 from brookreach.disruption.tables import NODES, NodeRow
 from brookreach.gang_scheduling import members as seats
 from brookreach.gang_scheduling.disruption_permits import Permits
@@ -50,7 +50,7 @@
     """The state as one record changes it. What is asked of `stock` counts all that was taken before."""
 
     def __init__(self, view: View, context: Context, permits: Permits):
-        self.draft, self.now, self.index, self.permits = Draft(view), context.at_ms, context.index, permits
+        self.draft, self.now, self.index, self.permits = StagedChanges(view), context.now_ms, context.index, permits
         self.context = context
 
     @cached_property
@@ -60,10 +60,10 @@
     # --- rows as they stand ---
 
     def gang(self, name: str) -> GangRow:
-        """Raises Refusal."""
+        """Raises CommandRejectedError."""
         row = self.draft.get(GANGS, name)
         if row is None:
-            raise Refusal(f"no gang {name!r}")
+            raise CommandRejectedError(f"no gang {name!r}")
         return row
 
     def member(self, gang: str, number: int) -> MemberRow:
@@ -88,11 +88,11 @@
         return found
 
     def hand(self) -> HandRow:
-        """Raises Refusal where the asking session is not the one that carries out orders on its node."""
-        row = self.draft.get(HANDS, self.context.by)
+        """Raises CommandRejectedError where the asking session is not the one that carries out orders on its node."""
+        row = self.draft.get(HANDS, self.context.client)
         if row is None or row.session != self.context.session or not row.session:
-            who = f"{self.context.by}: session {self.context.session}"
-            raise Refusal(f"{who} has not said Here, or was ended")
+            who = f"{self.context.client}: session {self.context.session}"
+            raise CommandRejectedError(f"{who} has not said Here, or was ended")
         return row
 
     # --- changes ---
--- a/brookreach/net/stream.py
+++ b/brookreach/net/stream.py
@@ -129,7 +129,7 @@
 
 
 class Stream(Watched):
-    """One connected socket, or one that is coming up. Handlers: `opened`, `came`, `broke`."""
+    """One connected socket, or one that is coming up. Handlers: `open_frame`, `came`, `broke`."""
 
     def __init__(self, poller: Poller, sock: socket.socket, inbound: Inbound, dialing: bool = False) -> None:
         super().__init__(poller, sock)
--- a/brookreach/scale/control_cluster.py
+++ b/brookreach/scale/control_cluster.py
@@ -17,13 +17,13 @@
 import anyio
 
 from brookreach.coordination import configuration
-from brookreach.coordination.client.events import Answered
-from brookreach.coordination.client.one_shot import NotHeard, Talk
-from brookreach.coordination.ports import Save
-from brookreach.coordination.protocol.messages import Kind
+from brookreach.coordination.client.events import ReplyReceived
+from brookreach.coordination.client.one_shot import ClusterUnreachableError, OneShotClient
+from brookreach.coordination.ports import PendingSave
+from brookreach.coordination.protocol.messages import ClientKind
 from brookreach.coordination.server.process import disk_of
-from brookreach.coordination.state_machine.application import Order
-from brookreach.disruption.application import PIECE
+from brookreach.coordination.state_machine.application import Command
+from brookreach.disruption.application import APPLICATION
 from brookreach.model.keepers_crowd import fleet
 from brookreach.scale.control_children import ChildFailed, HollowChild, Usage, usage
 from brookreach.scale.hollow_protocol import Figures
@@ -99,9 +99,9 @@
         self.key = configuration.read_key(self.file, self.told)
         self.operator = self.talk("operator", "operator")
 
-    def talk(self, name: str, kind: Kind) -> Talk:
+    def talk(self, name: str, kind: ClientKind) -> OneShotClient:
         """A client of the group that asks and watches nothing."""
-        return Talk(self.told, self.key, name, kind, {}, ANSWER_S)
+        return OneShotClient(self.told, self.key, name, kind, {}, ANSWER_S)
 
     def start_keepers(self) -> None:
         octets = fleet(self.size.nodes).snapshot()
@@ -109,24 +109,24 @@
             path = self.group.file(name, self.size.timing())
             disk = disk_of(path, configuration.read(path), name)
             disk.found(self.keepers)
-            disk.save(Save(1, "", 0, [], (1, 1, self.keepers, octets)))
+            disk.save(PendingSave(1, "", 0, [], (1, 1, self.keepers, octets)))
             disk.close()
             words = ("fleet", "keep", str(path), "--keeper", name)
             self.children.add(Child(name, self.group.folder / name, words)).start()
 
     # --- what is asked of it ---
 
-    async def asked(self, order: Order) -> Answered:
-        """By the operator; raises NotHeard."""
-        return await self.operator.ask(PIECE.name, order)
+    async def asked(self, order: Command) -> ReplyReceived:
+        """By the operator; raises ClusterUnreachableError."""
+        return await self.operator.ask(APPLICATION.name, order)
 
     async def leader(self) -> str:
-        """As the operator's connection has it; raises NotHeard."""
+        """As the operator's connection has it; raises ClusterUnreachableError."""
         with anyio.move_on_after(START_S):
             while not self.operator.client.joined:
                 await anyio.sleep(LOOK_S)
             return self.operator.client.keeper
-        raise NotHeard(f"no keeper that leads was reached within {START_S:.0f} s")
+        raise ClusterUnreachableError(f"no keeper that leads was reached within {START_S:.0f} s")
 
     def usage(self, keeper: str) -> Usage:
         """Raises ChildFailed where it has ended."""
@@ -189,14 +189,16 @@
             tasks.cancel_scope.cancel()
 
 
-async def start_talk(talk: Talk, tasks: anyio.abc.TaskGroup) -> None:
-    """Until it has a session; raises NotHeard."""
+async def start_talk(talk: OneShotClient, tasks: anyio.abc.TaskGroup) -> None:
+    """Until it has a session; raises ClusterUnreachableError."""
     tasks.start_soon(talk.dial.run)
     with anyio.move_on_after(START_S):
         while not talk.client.session:
             await anyio.sleep(LOOK_S)
         return
-    raise NotHeard(f"{talk.client.name} got no session within {START_S:.0f} s: {talk.trouble or 'nobody leads'}")
+    raise ClusterUnreachableError(
+        f"{talk.client.name} got no session within {START_S:.0f} s: {talk.trouble or 'nobody leads'}"
+    )
 
 
 def needed_mb(marshals: int, nodes: int) -> int:
--- a/brookreach/scale/control_counts.py
+++ b/brookreach/scale/control_counts.py
@@ -48,7 +48,7 @@
         super().__init__(nodes, seed, timing, GBIT)
 
     def _say(self, source: str, target: str, body: messages.Body) -> None:
-        if target.startswith("m") and isinstance(body, messages.Changes | messages.Whole):
+        if target.startswith("m") and isinstance(body, messages.WatchUpdate | messages.WatchSnapshot):
             self.rows.update(row.table for row in body.rows if row.key)
         super()._say(source, target, body)
 
--- a/brookreach/scale/control_day.py
+++ b/brookreach/scale/control_day.py
@@ -14,9 +14,9 @@
 import msgspec
 
 from brookreach.coordination.client.connection import now_ms
-from brookreach.coordination.client.one_shot import NotHeard, Talk
-from brookreach.coordination.state_machine.application import Order
-from brookreach.disruption.application import PIECE
+from brookreach.coordination.client.one_shot import ClusterUnreachableError, OneShotClient
+from brookreach.coordination.state_machine.application import Command
+from brookreach.disruption.application import APPLICATION
 from brookreach.disruption.commands import AskDrain, BudgetFor, SetBudgets, TakeBack
 from brookreach.model.keepers_crowd import seen
 from brookreach.scale.control_cluster import Cluster, start_talk
@@ -70,7 +70,7 @@
 class Agent:
     """The agent of one node: it says the node's states one after the other."""
 
-    def __init__(self, name: str, talk: Talk, outcome: Outcome):
+    def __init__(self, name: str, talk: OneShotClient, outcome: Outcome):
         self.name, self.talk, self.outcome, self.life = name, talk, outcome, 1
 
     async def says(self, states: tuple[State, ...]) -> None:
@@ -79,11 +79,11 @@
             await asked(self.talk, seen(self.name, state, self.life), self.outcome)
 
 
-async def asked(talk: Talk, order: Order, outcome: Outcome) -> int:
+async def asked(talk: OneShotClient, order: Command, outcome: Outcome) -> int:
     """The record's place in the log; 0 where it was not agreed."""
     try:
-        answer = await talk.ask(PIECE.name, order)
-    except NotHeard as error:
+        answer = await talk.ask(APPLICATION.name, order)
+    except ClusterUnreachableError as error:
         outcome.failed.append(str(error))
         return 0
     if not answer.ok:
@@ -94,7 +94,10 @@
 
 
 async def play(cluster: Cluster, day: Day, seconds: float, seed: int) -> Outcome:
-    """Puts it to the group; returns when all of it is answered. Raises NotHeard where an agent gets no session."""
+    """Proposes it to the cluster and returns when all of it is answered.
+
+    Raises ClusterUnreachableError where an agent gets no session.
+    """
     outcome, chance = Outcome(), random.Random(seed)
     async with anyio.create_task_group() as tasks:
         agents = [Agent(f"n{one}", cluster.talk(f"n{one}", "agent"), outcome) for one in range(RACK)]
@@ -122,7 +125,7 @@
         await agent.says(states)
 
 
-def change(number: int, nodes: int) -> Order:
+def change(number: int, nodes: int) -> Command:
     """The nth configuration change: a drain that waits, for the budget is nought, and the next takes it back."""
     name = f"change-{number // 2}"
     if number % 2:
--- a/brookreach/scale/hollow_marshal.py
+++ b/brookreach/scale/hollow_marshal.py
@@ -16,9 +16,9 @@
 import anyio.abc
 
 from brookreach.coordination.client.client import Client
-from brookreach.coordination.client.connection import Call, Dial, now_ms
-from brookreach.coordination.client.events import Changed, Event, SessionLost
-from brookreach.disruption.application import PIECE
+from brookreach.coordination.client.connection import ClientConnection, ReplicaConnection, now_ms
+from brookreach.coordination.client.events import ClientEvent, RowsChanged, SessionLost
+from brookreach.disruption.application import APPLICATION
 from brookreach.disruption.balancer_client import WATCHED, Attendance
 from brookreach.scale.hollow_protocol import BUCKET_MS
 
@@ -58,15 +58,15 @@
         await self._stream.aclose()
 
 
-class CountedDial(Dial):
+class CountedDial(ClientConnection):
     """A client on sockets whose traffic is counted."""
 
     traffic: Traffic
 
-    async def _write(self, call: Call, stream: anyio.abc.ByteStream, scope: anyio.CancelScope) -> None:
+    async def _write(self, call: ReplicaConnection, stream: anyio.abc.ByteStream, scope: anyio.CancelScope) -> None:
         await super()._write(call, CountedStream(stream, self.traffic), scope)
 
-    async def _read(self, call: Call, stream: anyio.abc.ByteStream) -> None:
+    async def _read(self, call: ReplicaConnection, stream: anyio.abc.ByteStream) -> None:
         await super()._read(call, CountedStream(stream, self.traffic))
 
 
@@ -102,19 +102,19 @@
 
     def begin(self) -> None:
         super().begin()
-        tables = {table: PIECE.tables[table] for table in WATCHED}
+        tables = {table: APPLICATION.tables[table] for table in WATCHED}
         chance = random.Random(f"{self.seed} {self.name}")
         self.client = Client(self.name, "marshal", tuple(self.addresses), self.timing, chance, tables)
         self.dial = CountedDial(self.client, self.group, self.key, self.addresses, self.hear)
         self.dial.traffic = self.traffic
 
-    def hear(self, event: Event) -> None:
+    def hear(self, event: ClientEvent) -> None:
         super().hear(event)
         if isinstance(event, SessionLost):
             self.traffic.sessions_lost += 1
-        elif isinstance(event, Changed):
+        elif isinstance(event, RowsChanged):
             self.traffic.messages_in += 1
-            for put in event.puts:
+            for put in event.updates:
                 self.traffic.rows[put.table] += 1
             self.moved(self.name, event.index)
 
--- a/brookreach/scale/storm.py
+++ b/brookreach/scale/storm.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from brookreach.coordination.client.connection import now_ms
-from brookreach.coordination.client.one_shot import NotHeard
+from brookreach.coordination.client.one_shot import ClusterUnreachableError
 from brookreach.disruption.commands import BudgetFor, SetBudgets
 from brookreach.disruption.tables import MARSHALS
 from brookreach.scale.control_cluster import AT_ONCE, DRIVER, Cluster, Size, open_cluster
@@ -169,9 +169,9 @@
     for _ in range(TRIES):
         try:
             return (await cluster.asked(change(number, cluster.size.nodes))).index
-        except NotHeard:
+        except ClusterUnreachableError:
             continue
-    raise NotHeard(f"change {number} was not answered {TRIES} times")
+    raise ClusterUnreachableError(f"change {number} was not answered {TRIES} times")
 
 
 SCENARIOS: dict[str, Callable[[Cluster], Awaitable[list[StormRun]]]] = {
--- a/brookreach/simulation/carbon_aware/drill.py
+++ b/brookreach/simulation/carbon_aware/drill.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from brookreach.carbon_aware import commands, cost_curve, schedule_file, scheduler, zone_preference
-from brookreach.carbon_aware.application import PIECE
+from brookreach.carbon_aware.application import APPLICATION
 from brookreach.carbon_aware.tables import CURRENT, DRAFTS, SLOT_MS, CurrentRow
 from brookreach.coordination.state_machine.application import Context
 from brookreach.simulation.carbon_aware.invariants import MARSHALS, MOST_CALLS, Play, Told, checks
@@ -71,7 +71,7 @@
     for nth, (name, some) in enumerate(calls.items()):
         world.say(now, commands.Steer(now // SLOT_MS, some, zones), name, "marshal", nth + 1)
         if nth == MARSHALS // 2:  # what it held is for others again
-            world.view.take(PIECE.ended(world.view, Context(world.index, now, "m0", "marshal", 1)))
+            world.view.take(APPLICATION.end_session(world.view, Context(world.index, now, "m0", "marshal", 1)))
     sent = dict.fromkeys(zones, 0)
     for name, some in calls.items():
         for zone, weight in zone_preference.weights(world.view, now, name, usual, some).items():
--- a/brookreach/simulation/carbon_aware/model.py
+++ b/brookreach/simulation/carbon_aware/model.py
@@ -16,9 +16,9 @@
 from typing import Any
 
 from brookreach.carbon_aware import commands, reservations, schedule_file, scheduler
-from brookreach.carbon_aware.application import PIECE
+from brookreach.carbon_aware.application import APPLICATION
 from brookreach.carbon_aware.tables import SLOT_MS
-from brookreach.coordination.state_machine.application import Context, Plain, Refusal
+from brookreach.coordination.state_machine.application import CommandRejectedError, Context, InMemoryView
 
 HOUR = 3_600_000
 START = 1_790_000_100_000 // HOUR * HOUR
@@ -163,7 +163,7 @@
 class World:
     case: Case
     decide: Decide
-    view: Plain = field(default_factory=Plain)
+    view: InMemoryView = field(default_factory=InMemoryView)
     ran: list[Ran] = field(default_factory=list)
     going: dict[str, Going] = field(default_factory=dict)
     events: list[tuple[int, Callable[[World, int], None]]] = field(default_factory=list)
@@ -174,8 +174,8 @@
         """One record of the log."""
         self.index += 1
         try:
-            self.view.take(PIECE.apply(self.view, order, Context(self.index, at_ms, by, kind, session)))
-        except Refusal as refusal:
+            self.view.take(APPLICATION.apply(self.view, order, Context(self.index, at_ms, by, kind, session)))
+        except CommandRejectedError as refusal:
             self.refused.append(str(refusal))
             return False
         return True
@@ -197,7 +197,7 @@
         for at in sorted(ticks):
             self._worked(last, at)
             self.index += 1
-            self.view.take(PIECE.passed(self.view, Context(self.index, at, "", "", 0)))
+            self.view.take(APPLICATION.advance_time(self.view, Context(self.index, at, "", "", 0)))
             for when, what in self.events:
                 if when == at:
                     what(self, at)
--- a/brookreach/simulation/carbon_aware/observer_invariants.py
+++ b/brookreach/simulation/carbon_aware/observer_invariants.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from brookreach.carbon_aware.tables import CURRENT, HOLDS, OFFERS, RESERVED, SCHEDULES, CurrentRow, version_key
-from brookreach.coordination.client.events import Changed
+from brookreach.coordination.client.events import RowsChanged
 from brookreach.coordination.state_machine.application import View
 from brookreach.simulation.processes.application_drill import Town
 
@@ -31,7 +31,7 @@
         self.index = self.version = self.fence = 0
         self.sent: dict[int, Sent] = {}
 
-    def changed(self, event: Changed) -> None:
+    def changed(self, event: RowsChanged) -> None:
         self.town.look(
             "a mirror never goes back", event.index >= self.index, lambda: f"{event.index} after {self.index}"
         )
--- a/brookreach/simulation/coordination/client_script.py
+++ b/brookreach/simulation/coordination/client_script.py
@@ -11,9 +11,9 @@
 from typing import Any
 
 from brookreach.coordination.client import events
-from brookreach.coordination.client.requests import TooMany
+from brookreach.coordination.client.requests import TooManyRequestsError
 from brookreach.coordination.protocol import messages
-from brookreach.coordination.state_machine.application import Order
+from brookreach.coordination.state_machine.application import Command
 from brookreach.simulation.coordination import sample_application
 from brookreach.simulation.coordination.invariants import Checkers
 from brookreach.simulation.engine.participants import ClientParty
@@ -26,7 +26,7 @@
     def __init__(self, chance: random.Random, checkers: Checkers, every_ms: float):
         self.chance, self.checkers, self.every_ms = chance, checkers, every_ms
         self.count = 0
-        self.asked: dict[int, Order] = {}
+        self.asked: dict[int, Command] = {}
         self.held: dict[str, tuple[int, int]] = {}  # by thing: session, fence
 
     def began(self, party: ClientParty) -> None:
@@ -51,28 +51,28 @@
         elif what not in self.held and sample_application.Take(what) not in self.asked.values():
             self.ask(party, sample_application.Take(what))
 
-    def ask(self, party: ClientParty, order: Order) -> None:
+    def ask(self, party: ClientParty, order: Command) -> None:
         try:
-            self.asked[party.client.ask(party.now(), sample_application.PIECE.name, order)] = order
-        except TooMany:
+            self.asked[party.client.ask(party.now(), sample_application.APPLICATION.name, order)] = order
+        except TooManyRequestsError:
             self.checkers.looked("a full queue says so")
 
     def read(self, party: ClientParty, table: str) -> None:
         if party.client.joined:
-            party.say(party.client.keeper, messages.Read(party.life << 32 | self.count, table, ""))
+            party.say(party.client.keeper, messages.ReadRequest(party.life << 32 | self.count, table, ""))
 
     def act(self, party: ClientParty) -> None:
         for what, (session, fence) in sorted(self.held.items()):
             if party.client.fence(party.now()) == session:
                 self.checkers.acted(party.world.now, party.name, sample_application.HOLDS, what, fence)
 
-    def news(self, party: ClientParty, event: events.Event) -> None:
+    def news(self, party: ClientParty, event: events.ClientEvent) -> None:
         match event:
             case events.SessionLost():
                 self.held = {}
-            case events.Unknown():
+            case events.OutcomeUnknown():
                 self.asked.pop(event.seq, None)
-            case events.Answered():
+            case events.ReplyReceived():
                 order = self.asked.pop(event.seq, None)
                 if event.ok and isinstance(order, sample_application.Take):
                     self.held[order.what] = party.client.session, event.index
--- a/brookreach/simulation/coordination/defects.py
+++ b/brookreach/simulation/coordination/defects.py
@@ -7,29 +7,29 @@
 from dataclasses import replace
 from typing import Any
 
-from brookreach.coordination.ports import Save, Timing
+from brookreach.coordination.ports import PendingSave, Timing
 from brookreach.coordination.protocol import frames, messages
 from brookreach.coordination.raft import node
-from brookreach.coordination.raft.node_state import Core
-from brookreach.coordination.raft.replication import Leading
+from brookreach.coordination.raft.node_state import NodeState
+from brookreach.coordination.raft.replication import LeaderReplication
 from brookreach.coordination.server import replica
-from brookreach.coordination.server.leader import Lead
+from brookreach.coordination.server.leader import Leader
 from brookreach.coordination.state_machine import snapshots
-from brookreach.coordination.state_machine.machine import Machine
+from brookreach.coordination.state_machine.machine import StateMachine
 from brookreach.coordination.state_machine.sessions import ANSWERS, SESSIONS, asked
 from brookreach.coordination.state_machine.tables import Tables
 from brookreach.simulation.defect import Plants
 from brookreach.simulation.engine import faults, participants
 
 
-class NoRound(Leading):
+class NoRound(LeaderReplication):
     """Reads are answered by whoever thinks that it leads."""
 
     def read(self, ticket: int) -> None:
         self.confirmed.append((ticket, max(self.core.commit, self.first)))
 
 
-class OlderTerms(Leading):
+class OlderTerms(LeaderReplication):
     """What a majority has of an earlier term counts as committed."""
 
     def settle(self) -> None:
@@ -38,26 +38,26 @@
         super().settle()
 
 
-class Forgetful(Core):
+class Forgetful(NodeState):
     """A vote is not saved."""
 
-    def to_save(self) -> Save | None:
+    def to_save(self) -> PendingSave | None:
         save = super().to_save()
         return replace(save, vote="") if save else None
 
 
-class Twice(Lead):
+class Twice(Leader):
     """A question that comes again is put into the log again, under a number of its own."""
 
-    def _ask(self, now: float, source: str, ask: messages.Ask) -> None:
+    def _ask(self, now: float, source: str, ask: messages.ProposeRequest) -> None:
         last = self.machine.view.get(ANSWERS, source)
         if last is not None and last.session == ask.session and last.seq == ask.seq:
-            again = messages.Ask(ask.session, ask.seq + 1, ask.piece, ask.version, ask.body)
+            again = messages.ProposeRequest(ask.session, ask.seq + 1, ask.piece, ask.version, ask.body)
             self.raft.propose(now, asked(again, self.clock.at(now), source, "marshal"))
         super()._ask(now, source, ask)
 
 
-class Dropping(Machine):
+class Dropping(StateMachine):
     """A snapshot without the sessions."""
 
     def snapshot(self) -> bytes:
@@ -80,25 +80,25 @@
 def no_seal(right: Any) -> Any:
     """Whatever can be read is taken."""
 
-    def opened(key: bytes, group: str, me: str, octets: bytes, may: Any = messages.TABLE) -> Any:
-        rest = octets[frames.SEAL :]
-        return right(key, group, me, frames.hmac.digest(key, rest, "sha256")[: frames.SEAL] + rest, may)
+    def opened(key: bytes, group: str, me: str, octets: bytes, may: Any = messages.ALL_MESSAGES) -> Any:
+        rest = octets[frames.SEAL_BYTES :]
+        return right(key, group, me, frames.hmac.digest(key, rest, "sha256")[: frames.SEAL_BYTES] + rest, may)
 
     return opened
 
 
 PLANTS: Plants = {
-    "stale-read": (node, "Leading", lambda right: NoRound),
-    "older-terms": (node, "Leading", lambda right: OlderTerms),
-    "vote-not-saved": (node, "Core", lambda right: Forgetful),
+    "stale-read": (node, "LeaderReplication", lambda right: NoRound),
+    "older-terms": (node, "LeaderReplication", lambda right: OlderTerms),
+    "vote-not-saved": (node, "NodeState", lambda right: Forgetful),
     "no-drift": (participants, "told", no_drift),
-    "twice": (replica, "Lead", lambda right: Twice),
-    "snapshot-without-sessions": (replica, "Machine", lambda right: Dropping),
+    "twice": (replica, "Leader", lambda right: Twice),
+    "snapshot-without-sessions": (replica, "StateMachine", lambda right: Dropping),
     # No defect: a known limit.
     "older-disk": (faults, "THEMES", lambda right: {"all": ("older", "kill", "leader killed")}),
 }
 MUTATION_PLANTS: Plants = {
-    "no-seal": (frames, "opened", no_seal),
+    "no-seal": (frames, "open_frame", no_seal),
     "any-term": (node, "MOST_JUMP", lambda right: 1 << 60),
-    "twice": (replica, "Lead", lambda right: Twice),
+    "twice": (replica, "Leader", lambda right: Twice),
 }
--- a/brookreach/simulation/coordination/patient_reader.py
+++ b/brookreach/simulation/coordination/patient_reader.py
@@ -43,19 +43,19 @@
             if self.now() >= self.joins_at:
                 self.hang_up()
                 self.connection, self.joins_at = self.connection + 1, self.now() + 4.0 * AGAIN_MS
-                self.say(self.target, messages.Join(self.name, "operator", 0, 1))
+                self.say(self.target, messages.OpenSession(self.name, "operator", 0, 1))
             return
-        self.say(self.target, messages.Read(self.life << 32 | self.count, self.table, ""))
+        self.say(self.target, messages.ReadRequest(self.life << 32 | self.count, self.table, ""))
         if self.count % RENEW == 0:
-            self.say(self.target, messages.Renew(self.session, self.count))
+            self.say(self.target, messages.KeepAlive(self.session, self.count))
 
     def leave(self) -> None:
         self.session, self.joins_at = 0, self.now() + AGAIN_MS
 
     def hear(self, source: str, body: messages.Body) -> None:
-        if isinstance(body, messages.Joined):
+        if isinstance(body, messages.SessionOpened):
             self.session = body.session
-        elif isinstance(body, messages.Sorry):
+        elif isinstance(body, messages.RequestRejected):
             self.leave()
 
     def fell(self) -> None:
--- a/brookreach/simulation/coordination/record_invariants.py
+++ b/brookreach/simulation/coordination/record_invariants.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from brookreach.coordination.ports import Applied
+from brookreach.coordination.ports import AppliedCommand
 from brookreach.coordination.state_machine.application import Row
 from brookreach.disruption import tables as outages
 from brookreach.simulation.coordination import sample_application
@@ -30,7 +30,7 @@
         self.say, self.look = say, look
         self.fences: dict[str, int] = {}
 
-    def __call__(self, now: float, applied: Applied, old: Old) -> None:
+    def __call__(self, now: float, applied: AppliedCommand, old: Old) -> None:
         for one in applied.changes:
             if one.table == sample_application.MARKS and one.octets is not None:
                 self.look("records apply once")
@@ -52,7 +52,7 @@
         self.say, self.look = say, look
         self.halted = False
 
-    def __call__(self, now: float, applied: Applied, old: Old) -> None:
+    def __call__(self, now: float, applied: AppliedCommand, old: Old) -> None:
         halt = [one for one in applied.changes if one.table == outages.HALT]
         if self.halted and not halt:
             for one in applied.changes:
--- a/brookreach/simulation/coordination/reference_model.py
+++ b/brookreach/simulation/coordination/reference_model.py
@@ -8,10 +8,10 @@
 
 import msgspec
 
-from brookreach.coordination.ports import Applied
+from brookreach.coordination.ports import AppliedCommand
 from brookreach.coordination.protocol import messages
-from brookreach.coordination.state_machine.application import Piece, View
-from brookreach.coordination.state_machine.machine import Machine
+from brookreach.coordination.state_machine.application import Application, View
+from brookreach.coordination.state_machine.machine import StateMachine
 from brookreach.coordination.state_machine.sessions import ANSWERS, SESSIONS
 
 
@@ -43,16 +43,16 @@
 
     session: int = 0
     asked: dict[tuple[int, int], Asked] = field(default_factory=dict)
-    reads: dict[int, tuple[messages.Read, int]] = field(default_factory=dict)  # by seq: it, the least place
-    parts: dict[int, list[messages.Change]] = field(default_factory=dict)
+    reads: dict[int, tuple[messages.ReadRequest, int]] = field(default_factory=dict)  # by seq: it, the least place
+    parts: dict[int, list[messages.RowChange]] = field(default_factory=dict)
     read_at: int = 0  # the place of the last answer
 
 
 class Reference:
     """The state by the log alone, and what it was at each place."""
 
-    def __init__(self, pieces: Sequence[Piece]):
-        self.machine = Machine(pieces)
+    def __init__(self, pieces: Sequence[Application]):
+        self.machine = StateMachine(pieces)
         self.tables = [table for piece in pieces for table in piece.tables]
         self.ground = (SESSIONS, ANSWERS)
         self.entries: dict[int, messages.Entry] = {}
@@ -61,7 +61,7 @@
         self.at: dict[int, dict[str, int]] = {0: self.sums | dict.fromkeys(self.ground, 0)}
         self.last = 0
 
-    def take(self, entry: messages.Entry) -> tuple[Applied, dict[tuple[str, str], bytes | None]]:
+    def take(self, entry: messages.Entry) -> tuple[AppliedCommand, dict[tuple[str, str], bytes | None]]:
         applied, before = self.machine.apply(entry), dict[tuple[str, str], bytes | None]()
         for one in applied.changes:
             if one.table not in self.sums:
--- a/brookreach/simulation/disruption/drill.py
+++ b/brookreach/simulation/disruption/drill.py
@@ -12,7 +12,7 @@
 
 from msgspec import structs
 
-from brookreach.coordination.state_machine.application import Refusal
+from brookreach.coordination.state_machine.application import CommandRejectedError
 from brookreach.disruption import commands, halt, permits, releases, tables, targets
 from brookreach.simulation.defect import Plants, planted
 from brookreach.simulation.disruption import sequential_group
@@ -177,7 +177,7 @@
 def _any_fence(right: Callable[..., None]) -> Callable[..., None]:
     def lift(draft: Any, fence: int) -> None:
         if halt.halted(draft) is None:
-            raise Refusal("nothing is halted")
+            raise CommandRejectedError("nothing is halted")
         draft.put(tables.HALT, halt.ALL, None)
 
     return lift
--- a/brookreach/simulation/disruption/observer_invariants.py
+++ b/brookreach/simulation/disruption/observer_invariants.py
@@ -9,7 +9,7 @@
 import re
 from typing import Any, NamedTuple
 
-from brookreach.coordination.client.events import Changed
+from brookreach.coordination.client.events import RowsChanged
 from brookreach.coordination.state_machine.application import View
 from brookreach.disruption.tables import HALT, NODES, PERMITS, HaltRow, PermitRow
 from brookreach.disruption.targets import OUT
@@ -42,7 +42,7 @@
 
     # --- by the mirror ---
 
-    def changed(self, event: Changed) -> None:
+    def changed(self, event: RowsChanged) -> None:
         town = self.town
         town.look("a mirror never goes back", event.index >= self.index, lambda: f"{event.index} after {self.index}")
         self.index = event.index
--- a/brookreach/simulation/disruption/process_faults.py
+++ b/brookreach/simulation/disruption/process_faults.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from brookreach.coordination.client.events import Answered
+from brookreach.coordination.client.events import ReplyReceived
 from brookreach.disruption import commands, tables
 from brookreach.simulation.processes.application_drill import KEEPERS
 from brookreach.simulation.processes.operators import LEASE_S
@@ -82,7 +82,7 @@
 
     async def same_drain(self) -> None:
         """Both ask for the same by the same name at once: one permit, and both hear so or are refused."""
-        name, answers = f"same{self.play.drains}", list[Answered | None]()
+        name, answers = f"same{self.play.drains}", list[ReplyReceived | None]()
         order = commands.AskDrain(name, self.chance.choice(self.play.names), 5, "drill")
 
         async def ask(one: Any) -> None:
--- a/brookreach/simulation/engine/disk.py
+++ b/brookreach/simulation/engine/disk.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from brookreach.coordination.ports import DiskError, Kept, Save
+from brookreach.coordination.ports import PendingSave, StorageError, StoredState
 
 MOST_OLDER = 64  # earlier states kept, for a disk that comes back older
 
@@ -17,19 +17,19 @@
     """
 
     def __init__(self, seats: tuple[str, ...], name: str = ""):
-        self.name, self.kept = name, Kept(seats=seats)
-        self.older: list[Kept] = []
+        self.name, self.kept = name, StoredState(seats=seats)
+        self.older: list[StoredState] = []
         self.full = False
         self.torn = ""
         self.saves = 0
         self.promised = False  # the process is to die once it has said what it now may
 
-    def load(self) -> Kept:
+    def load(self) -> StoredState:
         return self.kept
 
-    def save(self, save: Save) -> None:
+    def save(self, save: PendingSave) -> None:
         if self.full:
-            raise DiskError("the disk is full")
+            raise StorageError("the disk is full")
         torn, self.torn = self.torn, ""
         if torn == "before":
             raise Died("before its save lasted")
@@ -45,7 +45,7 @@
             raise Died("after its save, before it said so")
 
     def empty(self) -> None:
-        self.kept, self.older = Kept(), []
+        self.kept, self.older = StoredState(), []
 
     def go_back(self, saves: int) -> None:
         """As it was so many saves ago."""
@@ -58,7 +58,7 @@
     """The drill ends the process here, as SIGKILL would."""
 
 
-def kept_after(kept: Kept, save: Save) -> Kept:
+def kept_after(kept: StoredState, save: PendingSave) -> StoredState:
     """What a disk holds after a save. Entries past `after` go, new ones come, a snapshot takes what it
     covers.
     """
@@ -71,4 +71,4 @@
     places = [one.index for one in entries]
     if places != list(range(index + 1, index + 1 + len(places))):
         raise ValueError(f"a save leaves a gap: snapshot at {index}, entries {places[:1]} to {places[-1:]}")
-    return Kept(save.term, save.vote, seats, index, index_term, octets, tuple(entries))
+    return StoredState(save.term, save.vote, seats, index, index_term, octets, tuple(entries))
--- a/brookreach/simulation/engine/ordered_tables.py
+++ b/brookreach/simulation/engine/ordered_tables.py
@@ -7,7 +7,7 @@
 
 from sortedcontainers import SortedDict
 
-from brookreach.coordination.state_machine.application import Put
+from brookreach.coordination.state_machine.application import RowUpdate
 
 
 class Ordered:
@@ -31,7 +31,7 @@
     def count(self, table: str) -> int:
         return len(self.tables.get(table, {}))
 
-    def take(self, puts: Iterable[Put]) -> None:
+    def take(self, puts: Iterable[RowUpdate]) -> None:
         for one in puts:
             held = self.tables.setdefault(one.table, SortedDict())
             if one.row is None:
--- a/brookreach/simulation/engine/participants.py
+++ b/brookreach/simulation/engine/participants.py
@@ -11,11 +11,11 @@
 from typing import Any, Protocol
 
 from brookreach.coordination.client.client import Client
-from brookreach.coordination.client.events import Event
+from brookreach.coordination.client.events import ClientEvent
 from brookreach.coordination.ports import Ready, Timing
 from brookreach.coordination.protocol import messages
-from brookreach.coordination.server.replica import Keeper
-from brookreach.coordination.state_machine.application import Piece, Row
+from brookreach.coordination.server.replica import Replica
+from brookreach.coordination.state_machine.application import Application, Row
 from brookreach.simulation.engine.disk import MemoryDisk
 from brookreach.simulation.engine.faults import Fault
 from brookreach.simulation.engine.process import Party
@@ -33,15 +33,15 @@
 class KeeperParty(Party):
     keeps = True
 
-    def __init__(self, world: World, name: str, timing: Timing, seats: tuple[str, ...], pieces: Sequence[Piece]):
+    def __init__(self, world: World, name: str, timing: Timing, seats: tuple[str, ...], pieces: Sequence[Application]):
         super().__init__(world, name, timing)
         self.pieces, self.seats, self.disk = pieces, seats, MemoryDisk(seats, name)
         self.took = random.Random(f"{world.seed} disk {name}")
         self.lost = False  # its disk was: it is nobody now, and says nothing
-        self.keeper: Keeper
+        self.keeper: Replica
 
     def begin(self) -> None:
-        self.keeper = Keeper(
+        self.keeper = Replica(
             self.name, self.pieces, self.disk.load(), GROUP, told(self.timing), self.chance(), self.seats
         )
         self.flush()
@@ -136,7 +136,7 @@
 
     def tick(self, party: ClientParty, load: Any) -> None: ...
 
-    def news(self, party: ClientParty, event: Event) -> None: ...
+    def news(self, party: ClientParty, event: ClientEvent) -> None: ...
 
 
 class ClientParty(Party):
@@ -148,7 +148,7 @@
         seats: tuple[str, ...],
         tables: dict[str, type[Row]],
         script: Script,
-        kind: messages.Kind = "marshal",
+        kind: messages.ClientKind = "marshal",
     ):
         super().__init__(world, name, timing)
         self.seats, self.tables, self.script, self.kind = seats, tables, script, kind
@@ -204,7 +204,7 @@
 
     def flush(self) -> None:
         for target, body in self.client.out():
-            if isinstance(body, messages.Join):
+            if isinstance(body, messages.OpenSession):
                 self.hang_up()
                 self.target, self.connection = target, self.connection + 1
             self.say(target, body)
--- a/brookreach/simulation/engine/process.py
+++ b/brookreach/simulation/engine/process.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from brookreach.coordination.ports import DiskError, Timing
+from brookreach.coordination.ports import StorageError, Timing
 from brookreach.coordination.protocol import messages
 from brookreach.simulation.engine.disk import Died
 from brookreach.simulation.engine.faults import Fault
@@ -74,7 +74,7 @@
             call(*arguments)
         except Died as death:
             self.die(f"killed {death}")
-        except DiskError as error:
+        except StorageError as error:
             self.world.checkers.looked("a process ends with a word")
             self.die(f"disk: {error}")
         except Exception as error:  # the checker is to say it with the seed
--- a/brookreach/simulation/engine/world.py
+++ b/brookreach/simulation/engine/world.py
@@ -16,6 +16,7 @@
 from typing import TYPE_CHECKING, Any
 
 from brookreach.coordination.protocol import frames, messages
+from brookreach.coordination.protocol.tags import wire_name
 from brookreach.simulation.engine.faults import LEADER, Fault
 from brookreach.simulation.engine.transit import DOUBLE, GROUP, KEY, LATE, Frame, Link, Parcel, Reaction, Sent, Tamper
 
@@ -86,7 +87,7 @@
         return self.chances[source, target]
 
     def send(self, source: str, target: str, body: messages.Body, after_ms: float = 0.0) -> None:
-        octets = frames.sealed(KEY, GROUP, source, target, body)
+        octets = frames.seal_frame(KEY, GROUP, source, target, body)
         frame = Frame(self.frames, self.now, source, target, body, octets)
         self.frames += 1
         instead = self.watch(frame) if self.watch is not None else None
@@ -97,7 +98,7 @@
         for one in instead:
             if one.body is not None:
                 self.checkers.sent(self.now, one.source or source, target, one.body)
-            self.trace(source, f"> {target} {type(body).__name__} {one.octets[: frames.SEAL].hex()}")
+            self.trace(source, f"> {target} {wire_name(body)} {one.octets[: frames.SEAL_BYTES].hex()}")
             self.carry(frame.nth, one.source or source, target, one.octets, after_ms + one.later_ms)
 
     def carry(self, nth: int, source: str, target: str, octets: bytes, later_ms: float) -> None:
@@ -132,9 +133,9 @@
         if self.link(source, target).cuts or not self.stands(party, parcel):
             return
         try:
-            frame = frames.opened(KEY, GROUP, target, parcel.octets)
+            frame = frames.open_frame(KEY, GROUP, target, parcel.octets)
             self.may(frame, party, source)
-        except messages.Refused as error:
+        except messages.InvalidFrameError as error:
             self.refused[error.name] += 1
             self.trace(target, f"refused {error.name}")
             if parcel.nth == self.tampered:
@@ -159,11 +160,11 @@
 
     def may(self, frame: frames.Frame, party: Party, source: str) -> None:
         """As a link does it: a connection has one name, and says only what that name's kind may."""
-        may: tuple[type, ...] = messages.KEEPERS if self.parties[source].keeps else messages.ASKED
+        may: tuple[type, ...] = messages.REPLICA_MESSAGES if self.parties[source].keeps else messages.CLIENT_MESSAGES
         if not party.keeps:
-            may = messages.TOLD
+            may = messages.SERVER_MESSAGES
         if not isinstance(frame.body, may) or frame.source != source:
-            raise messages.Refused("not its to say", f"{frame.source}: {type(frame.body).__name__}")
+            raise messages.InvalidFrameError("not its to say", f"{frame.source}: {wire_name(frame.body)}")
 
     def hung_up(self, keeper: str, client: str, connection: int) -> bool:
         """Whether the end of this connection is that of the one which stands there."""
--- a/brookreach/simulation/gang_scheduling/cluster_model.py
+++ b/brookreach/simulation/gang_scheduling/cluster_model.py
@@ -15,7 +15,8 @@
 
 from msgspec.structs import replace
 
-from brookreach.coordination.state_machine.application import Context, Put, Refusal
+from brookreach.coordination.protocol.tags import wire_name
+from brookreach.coordination.state_machine.application import CommandRejectedError, Context, RowUpdate
 from brookreach.disruption.tables import NODES, PERMITS, NodeRow
 from brookreach.gang_scheduling import members
 from brookreach.gang_scheduling.agent_tasks import errands
@@ -74,13 +75,13 @@
         context = Context(self.index, BASE + int(self.now), by, kind, session)
         try:
             self.take(self.piece.apply(self.view, order, context))
-        except Refusal as refusal:
-            name = type(order).__name__
+        except CommandRejectedError as refusal:
+            name = wire_name(order)
             self.truth.refused[name] = self.truth.refused.get(name, 0) + 1
             return str(refusal)
         return ""
 
-    def take(self, puts: list[Put]) -> None:
+    def take(self, puts: list[RowUpdate]) -> None:
         self.view.take(puts)
         touched: dict[str, None] = {}
         for one in puts:
@@ -96,7 +97,7 @@
             self.spread(gang)
         self._due()
 
-    def _permit(self, put: Put) -> None:
+    def _permit(self, put: RowUpdate) -> None:
         row: Any = put.row
         if row is not None and row.state == "given":
             self.given.setdefault(put.key, (row.by, row.target, self.now))
@@ -105,7 +106,7 @@
             self.truth.permits.append((gang, node, since, self.now))
 
     def _due(self) -> None:
-        due = self.piece.due_ms(self.view)
+        due = self.piece.next_timer_ms(self.view)
         if due is not None and due - BASE < self.next_due:
             self.next_due = max(self.now, float(due - BASE))
             self.at(self.next_due - self.now, self._passed, self.next_due)
@@ -115,14 +116,14 @@
             return
         self.next_due = float("inf")
         self.index += 1
-        self.take(self.piece.passed(self.view, Context(self.index, BASE + int(self.now), "", "", 0)))
+        self.take(self.piece.advance_time(self.view, Context(self.index, BASE + int(self.now), "", "", 0)))
 
     def end_session(self, node: str) -> None:
         session, _ = self.sessions.pop(node)
         self.truth.sessions_ended.append((node, self.now))
         self.index += 1
         context = Context(self.index, BASE + int(self.now), node, "agent", session)
-        self.take(self.piece.ended(self.view, context))
+        self.take(self.piece.end_session(self.view, context))
 
     def expire(self, node: str, session: int) -> None:
         held = self.sessions.get(node)
@@ -172,7 +173,7 @@
         return node
 
     def set_node(self, name: str, row: NodeRow) -> None:
-        self.view.take([Put(NODES, name, row)])
+        self.view.take([RowUpdate(NODES, name, row)])
 
     def notice(self, name: str, retires: float) -> None:
         """Told now: the node goes at `retires` of the world's time; 0 withdraws it."""
--- a/brookreach/simulation/gang_scheduling/ground_truth.py
+++ b/brookreach/simulation/gang_scheduling/ground_truth.py
@@ -10,7 +10,7 @@
 
 from msgspec.structs import replace
 
-from brookreach.coordination.state_machine.application import Context, Draft
+from brookreach.coordination.state_machine.application import Context, StagedChanges
 from brookreach.disruption.tables import PERMITS, PermitRow
 from brookreach.gang_scheduling.tables import GangRow
 
@@ -25,27 +25,27 @@
     def __init__(self, most: int):
         self.most = most
 
-    def ask(self, draft: Draft, context: Context, name: str, node: str, urgency: int, reason: str) -> str:
-        gang, at_ms = name.split(":")[1], context.at_ms
+    def ask(self, draft: StagedChanges, context: Context, name: str, node: str, urgency: int, reason: str) -> str:
+        gang, at_ms = name.split(":")[1], context.now_ms
         draft.put(PERMITS, name, PermitRow("move", node, gang, urgency, at_ms, "waiting", reason=reason))
         self._give(draft, context)
         return ""
 
-    def given_ms(self, draft: Draft, name: str) -> int:
+    def given_ms(self, draft: StagedChanges, name: str) -> int:
         row = draft.get(PERMITS, name)
         return -1 if row is None else row.given_ms
 
-    def end(self, draft: Draft, context: Context, name: str, reason: str) -> None:
+    def end(self, draft: StagedChanges, context: Context, name: str, reason: str) -> None:
         draft.put(PERMITS, name, None)
         self._give(draft, context)
 
-    def _give(self, draft: Draft, context: Context) -> None:
+    def _give(self, draft: StagedChanges, context: Context) -> None:
         rows = list(draft.rows(PERMITS))
         free = self.most - sum(row.state == "given" for _, row in rows)
         waiting = sorted((-row.urgency, row.asked_ms, name) for name, row in rows if row.state == "waiting")
         for _, _, name in waiting[: max(0, free)]:
             row = draft.get(PERMITS, name)
-            draft.put(PERMITS, name, replace(row, state="given", given_ms=context.at_ms, fence=context.index))
+            draft.put(PERMITS, name, replace(row, state="given", given_ms=context.now_ms, fence=context.index))
 
 
 @dataclass
--- a/brookreach/simulation/mutation/drill.py
+++ b/brookreach/simulation/mutation/drill.py
@@ -16,6 +16,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
+from brookreach.coordination.protocol.tags import wire_name
 from brookreach.simulation.coordination import sample_application
 from brookreach.simulation.coordination.defects import MUTATION_PLANTS as PLANTS
 from brookreach.simulation.coordination.drill import small
@@ -53,7 +54,7 @@
 
     def choose(self, play: Play) -> int:
         """At most so many of each kind of change of each kind of message, spread over the run by the seed."""
-        records, moves = Records((sample_application.PIECE,)), moved(self.frames, play.terms)
+        records, moves = Records((sample_application.APPLICATION,)), moved(self.frames, play.terms)
         found: dict[tuple[str, str], list[tuple[int, Change]]] = {}
         chance, per = random.Random(f"{self.seed} changes"), dict[str, int]()
         for frame in chance.sample(self.frames, len(self.frames)):
@@ -144,7 +145,7 @@
     """Frames of one kind: heartbeats and entries, trials and elections, first and later parts are told
     apart.
     """
-    marks = [type(frame.body).__name__]
+    marks = [wire_name(frame.body)]
     for name in frame.body.__struct_fields__:
         value = getattr(frame.body, name)
         if isinstance(value, bool | tuple | None):
@@ -188,7 +189,7 @@
                 report.broken(
                     Violation(
                         "one changed message",
-                        f"{type(frame.body).__name__} {change.family} {change.name}",
+                        f"{wire_name(frame.body)} {change.family} {change.name}",
                         one,
                         frame.at_ms,
                         f"frame {frame.nth}, {frame.source} to {frame.target}: {told}",
--- a/brookreach/tls/pair.py
+++ b/brookreach/tls/pair.py
@@ -1,6 +1,6 @@
 """A certificate chain, its key and who is trusted: read, checked as a whole, kept or refused.
 
-`judge` is free of I/O. `Keeper` reads the files; what can't be used leaves the pair that is in use, with one
+`judge` is free of I/O. `Replica` reads the files; what can't be used leaves the pair that is in use, with one
 line.
 """
 
--- a/brookreach/xds/serve.py
+++ b/brookreach/xds/serve.py
@@ -102,7 +102,7 @@
         await self.stream(requests, context, True)
 
     def first(self, request: Any, context: Any) -> str:
-        """The node's id; raises Refused."""
+        """The node's id; raises InvalidFrameError."""
         node = request.node.id
         if not node or len(node.encode()) > MOST_ID:
             raise Refused("INVALID_ARGUMENT", f"node.id: {len(node.encode())} bytes; 1 to {MOST_ID} are allowed")
--- a/brookreach/xds/stream.py
+++ b/brookreach/xds/stream.py
@@ -46,7 +46,7 @@
     # --- what comes in ---
 
     def hear(self, ask: Ask) -> None:
-        """Raises Refused for what no proxy may ask."""
+        """Raises InvalidFrameError for what no proxy may ask."""
         if not ask.kind.startswith(PREFIX) or len(ask.kind) > self.limits.name_bytes:
             raise Refused("INVALID_ARGUMENT", f"type_url {ask.kind[:80]!r}: it must begin with {PREFIX}")
         for name in (*ask.names, *ask.subscribe, *ask.unsubscribe, *ask.initial):
