--- a/tests/gang_scheduling/test_capacity.py
+++ b/tests/gang_scheduling/test_capacity.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-from brookreach.disruption.application import PIECE as OUTAGES
+from brookreach.disruption.application import APPLICATION as OUTAGES
 from brookreach.disruption.commands import BudgetFor, Halt, NodeSeen, Resume, RetirementNotice, SetBudgets
 from brookreach.disruption.tables import HALT, PERMITS, NodeRow
 from brookreach.files import BadFile
