--- a/brookreach/cli/files.py
+++ b/brookreach/cli/files.py
@@ -184,7 +184,7 @@
         if "gang" in values:
             from brookreach.gang_scheduling import gang_file as gangs
 
-            return "a list of gangs", {"gang": msgspec.to_builtins(gangs.read(file, 0))}
+            return "a list of gangs", {"gang": msgspec.to_builtins(gangs.read_gang_file(file, 0))}
         if "schedule" in values:
             from brookreach.carbon_aware import schedule_file
 
--- a/brookreach/cli/fleet.py
+++ b/brookreach/cli/fleet.py
@@ -113,7 +113,7 @@
 
         if away_ms is not None:
             raise click.ClickException("--away-ms with --gangs: nodes that gangs use are not played away")
-        said(lambda: anyio.run(process.play, file, nodes, room, gangs, click.echo))
+        said(lambda: anyio.run(process.run_agents, file, nodes, room, gangs, click.echo))
         return
     away_s = None if away_ms is None else away_ms / 1000.0
     said(lambda: anyio.run(play, file, nodes, away_s, click.echo))
@@ -128,13 +128,12 @@
 @WAIT
 def show(file: Path, as_json: bool, wait: float) -> None:
     """Print what is agreed."""
-    import msgspec
+    from brookreach.coordination.protocol.tags import wire_fields
 
     async def look(one: OneShotClient) -> dict[str, Any]:
         view = await one.view()
         tables = {
-            name: {key: msgspec.structs.asdict(row) for key, row in view.rows(name)}
-            for name in sorted(one.client.mirror.watched)
+            name: {key: wire_fields(row) for key, row in view.rows(name)} for name in sorted(one.client.mirror.watched)
         }
         return {
             "leader": one.keeper,
--- a/brookreach/cli/fleet_ask_work.py
+++ b/brookreach/cli/fleet_ask_work.py
@@ -74,9 +74,9 @@
 @click.pass_context
 def gang(context: click.Context, gangs: Path, names: tuple[str, ...]) -> None:
     """Submit the gangs of GANGS, each for itself: one that is refused keeps none of the others."""
-    from brookreach.gang_scheduling.gang_file import read
+    from brookreach.gang_scheduling.gang_file import read_gang_file
 
-    known = {one.gang: one for one in said(partial(read, gangs, time.time_ns() // 1_000_000))}
+    known = {one.gang: one for one in said(partial(read_gang_file, gangs, time.time_ns() // 1_000_000))}
     for name in names:
         if name not in known:
             raise click.ClickException(f"{gangs}: no gang {name!r}; {', '.join(known)} stand there")
@@ -97,14 +97,14 @@
 @click.pass_context
 def cancel(context: click.Context, name: str, reason: str) -> None:
     """End GANG; of one that has ended, take its rows away."""
-    from brookreach.gang_scheduling.commands import Cancel
+    from brookreach.gang_scheduling.commands import CancelGang
     from brookreach.gang_scheduling.tables import GANGS
 
     def text(view: View) -> str:
         row = view.get(GANGS, name)
         return f"{name} {row.state if row is not None else 'is forgotten'}"
 
-    asked(*_group(context), "gangs", Cancel(name, reason), text)
+    asked(*_group(context), "gangs", CancelGang(name, reason), text)
 
 
 # --- nodes that go, builds that come ---
--- a/brookreach/cli/talked.py
+++ b/brookreach/cli/talked.py
@@ -74,7 +74,7 @@
     from brookreach.carbon_aware.tables import CURRENT, OFFERS
     from brookreach.coordination.state_machine import sessions
     from brookreach.disruption.tables import ASSIGNED, BUDGETS, HALT, MARSHALS, NODES, PERMITS, RELEASES
-    from brookreach.gang_scheduling.tables import GANGS, MEMBERS, ROOMS
+    from brookreach.gang_scheduling.tables import GANGS, MEMBERS, RESERVED_CAPACITY
 
     known = {name: row for one in load_applications() for name, row in one.tables.items()}
     known[sessions.SESSIONS] = sessions.TABLES[sessions.SESSIONS]
@@ -88,7 +88,7 @@
         ASSIGNED,
         GANGS,
         MEMBERS,
-        ROOMS,
+        RESERVED_CAPACITY,
         CURRENT,
         OFFERS,
         sessions.SESSIONS,
--- a/brookreach/coordination/protocol/tags.py
+++ b/brookreach/coordination/protocol/tags.py
@@ -1,7 +1,9 @@
-"""The name of a message or command on the wire, which outlives the name of its class."""
+"""Names on the wire of messages, commands and their fields, which outlive the names of classes and attributes."""
 
 from __future__ import annotations
 
+from typing import Any
+
 import msgspec
 
 
@@ -12,3 +14,11 @@
     which may change from one version to the next.
     """
     return str(struct.__struct_config__.tag)
+
+
+def wire_fields(struct: msgspec.Struct) -> dict[str, Any]:
+    """Returns the values of a row or command by the fields' encoded names.
+
+    Commands that print rows use it in place of the attributes' names, which may change from one version to the next.
+    """
+    return dict(zip(struct.__struct_encode_fields__, msgspec.structs.astuple(struct), strict=True))
--- a/brookreach/gang_scheduling/agent/actions.py
+++ b/brookreach/gang_scheduling/agent/actions.py
@@ -5,22 +5,22 @@
 from dataclasses import dataclass, field
 from typing import Literal
 
-Slot = tuple[str, int]  # gang and member
+MemberSlot = tuple[str, int]  # gang and member
 
 
 @dataclass(frozen=True, slots=True)
-class Act:
+class NodeAction:
     """On the node. `run` and `grant` carry the moment of its clock past which nothing may work."""
 
     what: Literal["run", "go", "save", "kill", "grant"]
-    slot: Slot = ("", 0)
+    slot: MemberSlot = ("", 0)
     fence: int = 0
     epoch: int = 0
     until: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class TaskReply:
     """To one token. The final one is kept; whoever asks again gets the same."""
 
     token: str
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True)
-class Live:
+class MemberProcess:
     """One incarnation on the node."""
 
     fence: int
--- a/brookreach/gang_scheduling/agent/agent.py
+++ b/brookreach/gang_scheduling/agent/agent.py
@@ -11,14 +11,21 @@
 
 from collections import OrderedDict
 
-from brookreach.gang_scheduling.agent.actions import Act, Answer, Live, Slot
-from brookreach.gang_scheduling.agent_tasks import Errand
-from brookreach.gang_scheduling.commands import Confirmed, Failed, Here, Orders, Started, Stopped
+from brookreach.gang_scheduling.agent.actions import MemberProcess, MemberSlot, NodeAction, TaskReply
+from brookreach.gang_scheduling.agent_tasks import AgentTask
+from brookreach.gang_scheduling.commands import (
+    Commands,
+    ConfirmCheckpoint,
+    RegisterAgent,
+    ReportFailed,
+    ReportStarted,
+    ReportStopped,
+)
 
 MOST_TOKENS, MOST_SLOTS = 4096, 4096
 
 
-class Agent:
+class GangAgent:
     """`quiet_ms`: from its own start on it answers nothing and takes nothing for so long, so that whatever an
     earlier process of it had started has run out of its grant (a lease by this clock).
     """
@@ -26,15 +33,15 @@
     def __init__(self, node: str, life: int, now: float, quiet_ms: float):
         self.node, self.life, self.quiet_until = node, life, now + quiet_ms
         self.session, self.until, self.holding = 0, 0.0, False
-        self.owed: list[tuple[Slot, int]] = []  # ended while no lease was held: told if the session goes on
-        self.live: dict[Slot, Live] = {}
-        self.fences: OrderedDict[Slot, int] = OrderedDict()  # the highest heard of
+        self.owed: list[tuple[MemberSlot, int]] = []  # ended while no lease was held: told if the session goes on
+        self.live: dict[MemberSlot, MemberProcess] = {}
+        self.fences: OrderedDict[MemberSlot, int] = OrderedDict()  # the highest heard of
         self.floor = 0  # of slots forgotten: nothing unknown starts at or below it
-        self.next: dict[Slot, tuple[Errand, str]] = {}  # to start once the older incarnation is gone
-        self.answered: OrderedDict[str, Answer] = OrderedDict()
-        self.acts: list[Act] = []
-        self.answers: list[Answer] = []
-        self.reports: list[Orders] = []
+        self.next: dict[MemberSlot, tuple[AgentTask, str]] = {}  # to start once the older incarnation is gone
+        self.answered: OrderedDict[str, TaskReply] = OrderedDict()
+        self.acts: list[NodeAction] = []
+        self.answers: list[TaskReply] = []
+        self.reports: list[Commands] = []
 
     # --- the lease ---
 
@@ -49,10 +56,10 @@
         self.until = max(self.until, until)
         self.holding = now < self.until
         if self.holding:
-            self.reports += [Failed(*slot, fence, "its lease ran out") for slot, fence in self.owed]
+            self.reports += [ReportFailed(*slot, fence, "its lease ran out") for slot, fence in self.owed]
             self.owed = []
         if self.live:
-            self.acts.append(Act("grant", until=self.until))
+            self.acts.append(NodeAction("grant", until=self.until))
 
     def ended(self, now: float) -> None:
         """The session is over: nobody counts on what it had any more."""
@@ -71,8 +78,8 @@
         """Quiet is over and nothing of an earlier session lives: `Here` may be said."""
         return now >= self.quiet_until and self.holding and not self.live
 
-    def here(self) -> Here:
-        return Here(self.life)
+    def here(self) -> RegisterAgent:
+        return RegisterAgent(self.life)
 
     def _drop_all(self) -> None:
         self.owed += [(slot, errand.fence) for slot, (errand, _) in sorted(self.next.items())]
@@ -80,14 +87,14 @@
         for slot, one in sorted(self.live.items()):
             self._kill(slot, one)
 
-    def _kill(self, slot: Slot, one: Live) -> None:
+    def _kill(self, slot: MemberSlot, one: MemberProcess) -> None:
         if one.state != "dying":
             one.state = "dying"
-            self.acts.append(Act("kill", slot, one.fence))
+            self.acts.append(NodeAction("kill", slot, one.fence))
 
     # --- orders ---
 
-    def hear(self, now: float, errand: Errand) -> None:
+    def hear(self, now: float, errand: AgentTask) -> None:
         self.passed(now)
         token = errand.token
         slot = errand.gang, errand.member
@@ -104,7 +111,7 @@
         else:
             self._work(slot, errand, token)
 
-    def _start(self, slot: Slot, errand: Errand, token: str) -> None:
+    def _start(self, slot: MemberSlot, errand: AgentTask, token: str) -> None:
         one, known = self.live.get(slot), self.fences.get(slot, self.floor)
         waits = self.next.get(slot)
         if waits is not None and waits[1] == token:
@@ -124,12 +131,12 @@
         else:
             self._kill(slot, one)
 
-    def _begin(self, slot: Slot) -> None:
+    def _begin(self, slot: MemberSlot) -> None:
         errand, token = self.next.pop(slot)
-        self.live[slot] = Live(errand.fence, "loading", errand.epoch, [token])
-        self.acts.append(Act("run", slot, errand.fence, errand.epoch, self.until))
+        self.live[slot] = MemberProcess(errand.fence, "loading", errand.epoch, [token])
+        self.acts.append(NodeAction("run", slot, errand.fence, errand.epoch, self.until))
 
-    def _stop(self, slot: Slot, errand: Errand, token: str) -> None:
+    def _stop(self, slot: MemberSlot, errand: AgentTask, token: str) -> None:
         self._note(slot, errand.fence)
         waits = self.next.get(slot)
         if waits is not None and waits[0].fence <= errand.fence:
@@ -142,7 +149,7 @@
         one.wait(token)
         self._kill(slot, one)
 
-    def _work(self, slot: Slot, errand: Errand, token: str) -> None:
+    def _work(self, slot: MemberSlot, errand: AgentTask, token: str) -> None:
         """`go` and `save`: to the incarnation of this very fence, and never back to an older epoch."""
         one = self.live.get(slot)
         if one is None or one.fence != errand.fence or one.state == "dying":
@@ -157,7 +164,7 @@
                 return
             self._answer(one, False, "given up")
             one.epoch, one.state = errand.epoch, "working"
-            self.acts.append(Act("go", slot, one.fence, errand.epoch))
+            self.acts.append(NodeAction("go", slot, one.fence, errand.epoch))
             self._final(token, True, "works")
         elif errand.epoch <= one.epoch:
             if one.state == "saving" and errand.epoch == one.epoch:
@@ -166,25 +173,25 @@
                 self._final(token, False, f"epoch {errand.epoch}; {one.epoch} was heard of")
         else:
             one.epoch, one.state, one.waiting = errand.epoch, "saving", [token]
-            self.acts.append(Act("save", slot, one.fence, errand.epoch))
+            self.acts.append(NodeAction("save", slot, one.fence, errand.epoch))
 
     # --- what the node says of its incarnations ---
 
-    def loaded(self, now: float, slot: Slot, fence: int) -> None:
+    def loaded(self, now: float, slot: MemberSlot, fence: int) -> None:
         one = self.live.get(slot)
         if one is not None and one.fence == fence and one.state == "loading":
             one.state = "ready"
-            self.reports.append(Started(slot[0], slot[1], fence))
+            self.reports.append(ReportStarted(slot[0], slot[1], fence))
             self._answer(one, True, "loaded")
 
-    def saved(self, now: float, slot: Slot, fence: int, epoch: int, work_ms: int) -> None:
+    def saved(self, now: float, slot: MemberSlot, fence: int, epoch: int, work_ms: int) -> None:
         one = self.live.get(slot)
         if one is not None and (one.fence, one.epoch, one.state) == (fence, epoch, "saving"):
             one.state, one.work_ms = "saved", work_ms
-            self.reports.append(Confirmed(slot[0], slot[1], epoch, self.node, self.life, fence, work_ms))
+            self.reports.append(ConfirmCheckpoint(slot[0], slot[1], epoch, self.node, self.life, fence, work_ms))
             self._answer(one, True, f"epoch {epoch}, work {work_ms}")
 
-    def gone(self, now: float, slot: Slot, fence: int, reason: str) -> None:
+    def gone(self, now: float, slot: MemberSlot, fence: int, reason: str) -> None:
         """It has ended, by a kill or by itself: only now may anybody hear that it did."""
         one = self.live.get(slot)
         if one is None or one.fence != fence:
@@ -193,7 +200,7 @@
         if not self.holding:
             self.owed.append((slot, fence))
         elif one.state != "dying":
-            self.reports.append(Failed(slot[0], slot[1], fence, reason[:400]))
+            self.reports.append(ReportFailed(slot[0], slot[1], fence, reason[:400]))
             self._answer(one, False, reason)
         else:
             self._stopped(slot, fence, [token for token in one.waiting if token.startswith("stop.")])
@@ -201,46 +208,46 @@
         if slot in self.next:
             self._begin(slot)
 
-    def _stopped(self, slot: Slot, fence: int, tokens: list[str]) -> None:
+    def _stopped(self, slot: MemberSlot, fence: int, tokens: list[str]) -> None:
         """Said of every fence up to this one, which can't be started here any more."""
-        self.reports.append(Stopped(slot[0], slot[1], fence))
+        self.reports.append(ReportStopped(slot[0], slot[1], fence))
         for token in tokens:
             self._final(token, True, f"stopped up to fence {fence}")
 
-    def _again(self, slot: Slot, errand: Errand) -> None:
+    def _again(self, slot: MemberSlot, errand: AgentTask) -> None:
         """An order that still stands though it was carried out: what was told of it has not been taken."""
         one, fence = self.live.get(slot), errand.fence
         if errand.kind == "stop" and (one is None or one.fence > fence):
-            self.reports.append(Stopped(slot[0], slot[1], fence))
+            self.reports.append(ReportStopped(slot[0], slot[1], fence))
         if one is None or one.fence != fence:
             if errand.kind != "stop":
                 self._note(slot, fence)  # nor is it ever started now
-                self.reports.append(Failed(slot[0], slot[1], fence, "it does not work here any more"))
+                self.reports.append(ReportFailed(slot[0], slot[1], fence, "it does not work here any more"))
             return
         if errand.kind == "start" and one.state in ("ready", "working"):
-            self.reports.append(Started(slot[0], slot[1], fence))
+            self.reports.append(ReportStarted(slot[0], slot[1], fence))
         elif errand.kind == "save" and one.state == "saved" and one.epoch == errand.epoch:
-            told = Confirmed(slot[0], slot[1], one.epoch, self.node, self.life, fence, one.work_ms)
+            told = ConfirmCheckpoint(slot[0], slot[1], one.epoch, self.node, self.life, fence, one.work_ms)
             self.reports.append(told)
 
     def _not_now(self, token: str, text: str) -> None:
         """Not kept: it is asked again, or under another token."""
-        self.answers.append(Answer(token, False, text, final=False))
+        self.answers.append(TaskReply(token, False, text, final=False))
 
-    def _answer(self, one: Live, ok: bool, text: str) -> None:
+    def _answer(self, one: MemberProcess, ok: bool, text: str) -> None:
         for token in one.waiting:
             if token not in self.answered:
                 self._final(token, ok, text)
         one.waiting = []
 
     def _final(self, token: str, ok: bool, text: str) -> None:
-        answer = Answer(token, ok, text)
+        answer = TaskReply(token, ok, text)
         self.answered[token] = answer
         self.answers.append(answer)
         while len(self.answered) > MOST_TOKENS:
             self.answered.popitem(last=False)
 
-    def _note(self, slot: Slot, fence: int) -> None:
+    def _note(self, slot: MemberSlot, fence: int) -> None:
         self.fences[slot] = max(fence, self.fences.get(slot, 0))
         self.fences.move_to_end(slot)
         while len(self.fences) > MOST_SLOTS:
--- a/brookreach/gang_scheduling/agent/process.py
+++ b/brookreach/gang_scheduling/agent/process.py
@@ -35,13 +35,13 @@
 from brookreach.coordination.state_machine.application import Command
 from brookreach.disruption.node_agent import Agent, Facts, Say
 from brookreach.gang_scheduling.agent import agent as hands
-from brookreach.gang_scheduling.agent.actions import Act, Slot
-from brookreach.gang_scheduling.agent_tasks import errands
+from brookreach.gang_scheduling.agent.actions import MemberSlot, NodeAction
+from brookreach.gang_scheduling.agent_tasks import tasks_for_node
 from brookreach.gang_scheduling.application import APPLICATION
-from brookreach.gang_scheduling.commands import Here
-from brookreach.gang_scheduling.tables import GANGS, HANDS, MEMBERS, PLACES, GangRow
+from brookreach.gang_scheduling.commands import RegisterAgent
+from brookreach.gang_scheduling.tables import AGENTS, GANGS, MEMBERS, SLOTS, GangRow
 
-WATCHED = (GANGS, HANDS, MEMBERS, PLACES)
+WATCHED = (GANGS, AGENTS, MEMBERS, SLOTS)
 TICK_MS, AGAIN_MS, QUIET = 10.0, 500.0, 1.25  # between looks; between orders that still stand; of a lease
 
 
@@ -49,7 +49,7 @@
 class Work:
     """One incarnation. `kept`: work that it goes on from; `since`: working since then."""
 
-    slot: Slot
+    slot: MemberSlot
     fence: int
     epoch: int
     until: float
@@ -60,12 +60,12 @@
         return self.kept + (0.0 if self.since is None else min(now, self.until) - self.since)
 
 
-class Worker(Agent):
+class GangAgentProcess(Agent):
     def __init__(self, facts: Facts, told: configuration.ClusterConfiguration, key: bytes, say: Say, path: Path):
         super().__init__(facts, told, key, None, say, {name: APPLICATION.tables[name] for name in WATCHED})
         now = now_ms()
-        self.hands = hands.Agent(facts.name, self.life, now, told.timing.lease_ms * QUIET)
-        self.works: dict[Slot, Work] = {}
+        self.hands = hands.GangAgent(facts.name, self.life, now, told.timing.lease_ms * QUIET)
+        self.works: dict[MemberSlot, Work] = {}
         self.later: list[tuple[float, int, Callable[[], None]]] = []
         self.asked: dict[int, Command] = {}
         self.count, self.here_at, self.again_at = 0, 0.0, 0.0
@@ -105,7 +105,7 @@
         now = now_ms()
         if isinstance(event, ReplyReceived | OutcomeUnknown) and event.seq in self.asked:
             order = self.asked.pop(event.seq)
-            if isinstance(event, ReplyReceived) and event.ok and isinstance(order, Here):
+            if isinstance(event, ReplyReceived) and event.ok and isinstance(order, RegisterAgent):
                 self.here = self.client.session
             elif isinstance(event, ReplyReceived) and not event.ok:
                 self.say(f"{self.facts.name} {wire_name(order)}, refused: {event.text}")
@@ -123,7 +123,7 @@
     def _errands(self) -> None:
         now = now_ms()
         self.again_at = now + AGAIN_MS
-        for errand in errands(self.client.mirror, self.facts.name):
+        for errand in tasks_for_node(self.client.mirror, self.facts.name):
             self.hands.hear(now, errand)
         self._flush()
 
@@ -145,7 +145,7 @@
 
     # --- the node ---
 
-    def _do(self, act: Act) -> None:
+    def _do(self, act: NodeAction) -> None:
         now = now_ms()
         if act.what == "grant":
             for work in self.works.values():
@@ -168,13 +168,13 @@
         else:
             self._after(self._row(act.slot).cost_ms, lambda: self._saved(found, act.epoch))
 
-    def _run(self, act: Act) -> None:
+    def _run(self, act: NodeAction) -> None:
         row = self._row(act.slot)
         work = self.works[act.slot] = Work(act.slot, act.fence, act.epoch, act.until, float(row.kept_ms))
         self._write("start", work)
         self._after(row.load_ms, lambda: self._loaded(work))
 
-    def _row(self, slot: Slot) -> GangRow:
+    def _row(self, slot: MemberSlot) -> GangRow:
         row: GangRow = self.client.mirror.get(GANGS, slot[0])
         return row
 
@@ -215,7 +215,7 @@
         os.fsync(self.file)
 
 
-async def play(path: Path, nodes: list[Facts], room: int, folder: Path, say: Say) -> None:
+async def run_agents(path: Path, nodes: list[Facts], room: int, folder: Path, say: Say) -> None:
     """Agents of these nodes, each with `room` and its file NODE.jsonl in `folder`, until cancelled."""
     told = configuration.read(path)
     key = configuration.read_key(path, told)
@@ -223,4 +223,4 @@
     async with anyio.create_task_group() as tasks:
         for facts in nodes:
             file = folder / f"{facts.name}.jsonl"
-            tasks.start_soon(Worker(replace(facts, room=room), told, key, say, file).run)
+            tasks.start_soon(GangAgentProcess(replace(facts, room=room), told, key, say, file).run)
--- a/brookreach/gang_scheduling/agent_tasks.py
+++ b/brookreach/gang_scheduling/agent_tasks.py
@@ -14,15 +14,15 @@
 
 from brookreach.coordination.state_machine.application import View
 from brookreach.gang_scheduling import members
-from brookreach.gang_scheduling.tables import GANGS, HANDS, MEMBERS, PLACES, GangRow, MemberRow
+from brookreach.gang_scheduling.tables import AGENTS, GANGS, MEMBERS, SLOTS, GangRow, MemberRow
 
-Kind = Literal["start", "go", "save", "stop"]
+TaskKind = Literal["start", "go", "save", "stop"]
 
 
-class Errand(msgspec.Struct, frozen=True, forbid_unknown_fields=True, array_like=True):
+class AgentTask(msgspec.Struct, frozen=True, forbid_unknown_fields=True, array_like=True):
     """One order to a node. `epoch`: to start from, to keep, or the last asked for when work goes on."""
 
-    kind: Kind
+    kind: TaskKind
     gang: str
     member: int
     fence: int
@@ -37,13 +37,13 @@
         return f"{self.kind}.{self.gang}.{self.member}.{self.fence}.{self.epoch}.{self.order}.{self.session}"
 
 
-def errands(view: View, node: str) -> list[Errand]:
+def tasks_for_node(view: View, node: str) -> list[AgentTask]:
     """All that stands open or may have been missed on this node."""
-    hand = view.get(HANDS, node)
+    hand = view.get(AGENTS, node)
     if hand is None or not hand.session:
         return []
     found = []
-    for key, _ in view.rows(PLACES, f"{node}/"):
+    for key, _ in view.rows(SLOTS, f"{node}/"):
         _, gang, number = key.split("/")
         row: GangRow | None = view.get(GANGS, gang)
         member: MemberRow | None = view.get(MEMBERS, f"{gang}/{number}")
@@ -52,12 +52,12 @@
         told = _of(row, member, node)
         if told is not None:
             kind, fence, epoch = told
-            found.append(Errand(kind, gang, int(number), fence, epoch, hand.session, hand.life, row.order))
+            found.append(AgentTask(kind, gang, int(number), fence, epoch, hand.session, hand.life, row.order))
     return found
 
 
-def _of(row: GangRow, member: MemberRow, node: str) -> tuple[Kind, int, int] | None:
-    spot = members.live(member)
+def _of(row: GangRow, member: MemberRow, node: str) -> tuple[TaskKind, int, int] | None:
+    spot = members.active_incarnation(member)
     if spot is None or spot.node != node:
         return None
     if member.state == "fencing":
--- a/brookreach/gang_scheduling/application.py
+++ b/brookreach/gang_scheduling/application.py
@@ -16,78 +16,78 @@
 from brookreach.gang_scheduling import carbon_placement, checkpoint_interval, checkpoints, members, transitions
 from brookreach.gang_scheduling import commands as orders
 from brookreach.gang_scheduling import tables as rows
-from brookreach.gang_scheduling.disruption_permits import Agreed, Permits
-from brookreach.gang_scheduling.migration import leaves_ms
+from brookreach.gang_scheduling.disruption_permits import DisruptionPermits, PermitProvider
+from brookreach.gang_scheduling.migration import departure_ms
 from brookreach.gang_scheduling.placement import ever
 from brookreach.gang_scheduling.queue import Prefer, place_waiting
-from brookreach.gang_scheduling.reconcile import look
-from brookreach.gang_scheduling.transaction import ROUND, Desk, due_key
+from brookreach.gang_scheduling.reconcile import reconcile
+from brookreach.gang_scheduling.transaction import PLACEMENT_ROUND, Transaction, timer_key
 
 NEAR_MS = 60_000
 
 
-class Gangs:
+class GangSchedulingApplication:
     """A `coordination.state_machine.application.Application`."""
 
     name = "gangs"
     version = 1
-    orders: Any = orders.Orders
+    orders: Any = orders.Commands
     tables: Mapping[str, type[Row]] = {
         rows.GANGS: rows.GangRow,
         rows.MEMBERS: rows.MemberRow,
-        rows.ROOMS: rows.RoomRow,
-        rows.PLACES: rows.PlaceRow,
-        rows.HANDS: rows.HandRow,
+        rows.RESERVED_CAPACITY: rows.ReservedCapacityRow,
+        rows.SLOTS: rows.SlotRow,
+        rows.AGENTS: rows.AgentRow,
         rows.QUEUE: rows.QueueRow,
-        rows.DUES: rows.DueRow,
-        rows.WAKES: rows.WakeRow,
-        rows.SUMS: rows.SumsRow,
+        rows.TIMERS: rows.TimerRow,
+        rows.RECONCILE_TIMES: rows.ReconcileTimeRow,
+        rows.TOTALS: rows.TotalsRow,
     }
 
-    def __init__(self, permits: Permits, prefer: Prefer | None = None):
+    def __init__(self, permits: PermitProvider, prefer: Prefer | None = None):
         self.permits, self.prefer = permits, prefer
 
     def apply(self, view: View, order: Any, context: Context) -> list[RowUpdate]:
-        orders.permitted(order, context)
-        desk = Desk(view, context, self.permits)
+        orders.check_sender(order, context)
+        desk = Transaction(view, context, self.permits)
         touched: list[str] = []
         match order:
-            case orders.Submit():
+            case orders.SubmitGang():
                 _submit(desk, order)
-            case orders.Cancel():
+            case orders.CancelGang():
                 _cancel(desk, order)
                 touched = [order.gang]
-            case orders.Here():
+            case orders.RegisterAgent():
                 touched = _here(desk, order)
-            case orders.Confirmed():
+            case orders.ConfirmCheckpoint():
                 touched = [order.gang] if checkpoints.confirm(desk, order) else []
-            case orders.Started() | orders.Stopped() | orders.Failed():
+            case orders.ReportStarted() | orders.ReportStopped() | orders.ReportFailed():
                 touched = [order.gang] if _member(desk, order) else []
-            case orders.Measured():
+            case orders.ReportCosts():
                 _measured(desk, order)
-            case orders.Noticed():
+            case orders.ReconcileNode():
                 touched = _noticed(desk, order.node)
         for gang in dict.fromkeys(touched):
             _look(desk, gang)
         return _changes(desk)
 
     def next_timer_ms(self, view: View) -> int | None:
-        found = first(view, rows.DUES)
+        found = first(view, rows.TIMERS)
         return None if found is None else int(found[0][:16])
 
     def advance_time(self, view: View, context: Context) -> list[RowUpdate]:
-        desk = Desk(view, context, self.permits)
+        desk = Transaction(view, context, self.permits)
         due = []
-        for key, row in ordered(view, rows.DUES):
+        for key, row in ordered(view, rows.TIMERS):
             if int(key[:16]) > context.now_ms:
                 break
             due.append((key, row.name))
         for key, name in due:
-            if name.startswith(ROUND) and name != ROUND:
-                desk.draft.put(rows.DUES, key, None)
+            if name.startswith(PLACEMENT_ROUND) and name != PLACEMENT_ROUND:
+                desk.draft.put(rows.TIMERS, key, None)
                 for gang in _released(desk, name[1:]):
                     _look(desk, gang)
-            elif name != ROUND and desk.draft.get(rows.GANGS, name) is not None:
+            elif name != PLACEMENT_ROUND and desk.draft.get(rows.GANGS, name) is not None:
                 _look(desk, name)
         sums = desk.sums()
         if sums.round_ms and sums.round_ms <= context.now_ms:
@@ -96,17 +96,17 @@
 
     def end_session(self, view: View, context: Context) -> list[RowUpdate]:
         """The agent's members can't be counted on any more; what they hold is let go later (`LET_GO_MS`)."""
-        hand = view.get(rows.HANDS, context.client) if context.client_kind == "agent" else None
+        hand = view.get(rows.AGENTS, context.client) if context.client_kind == "agent" else None
         if hand is None or hand.session != context.session:
             return []
-        desk = Desk(view, context, self.permits)
-        desk.draft.put(rows.HANDS, context.client, rows.HandRow(0, hand.life, context.now_ms))
-        until = due_key(context.now_ms + members.LET_GO_MS, ROUND + context.client)
-        desk.draft.put(rows.DUES, until, rows.DueRow(ROUND + context.client))
+        desk = Transaction(view, context, self.permits)
+        desk.draft.put(rows.AGENTS, context.client, rows.AgentRow(0, hand.life, context.now_ms))
+        until = timer_key(context.now_ms + members.RELEASE_DELAY_MS, PLACEMENT_ROUND + context.client)
+        desk.draft.put(rows.TIMERS, until, rows.TimerRow(PLACEMENT_ROUND + context.client))
         fallen: dict[str, list[int]] = {}
         for gang, number in desk.on_node(context.client):
             member = desk.member(gang, number)
-            spot = members.live(member)
+            spot = members.active_incarnation(member)
             if member.node == context.client or (spot and spot.node == context.client and member.state != "fencing"):
                 fallen.setdefault(gang, []).append(number)
             elif member.next_node == context.client:
@@ -117,17 +117,17 @@
         return _changes(desk)
 
 
-def _changes(desk: Desk) -> list[RowUpdate]:
+def _changes(desk: Transaction) -> list[RowUpdate]:
     """Without what was put back as it was."""
     draft = desk.draft
     return [put for put in draft.updates() if draft.under.get(put.table, put.key) != put.row]
 
 
-def _look(desk: Desk, gang: str) -> None:
+def _look(desk: Transaction, gang: str) -> None:
     """And never twice by time alone at the same moment."""
     if desk.draft.get(rows.GANGS, gang) is None:
         return
-    look(desk, gang)
+    reconcile(desk, gang)
     row = desk.draft.get(rows.GANGS, gang)
     if row is not None and row.state in ("done", "failed"):
         carbon_placement.let_go(desk, gang, row)
@@ -135,12 +135,12 @@
         desk.wake(gang, desk.next_look())
 
 
-def _noticed(desk: Desk, node: str) -> list[str]:
+def _noticed(desk: Transaction, node: str) -> list[str]:
     """Gangs to be looked at now. Where there is time, all that were noticed in one second are looked at
     together, with one reading of the nodes.
     """
     gangs = list(dict.fromkeys(gang for gang, _ in desk.on_node(node)))
-    if leaves_ms(desk.node(node), desk.now) <= desk.now + NEAR_MS:
+    if departure_ms(desk.node(node), desk.now) <= desk.now + NEAR_MS:
         return gangs
     full = (desk.now // 1000 + 1) * 1000
     for gang in gangs:
@@ -149,8 +149,8 @@
     return []
 
 
-def _submit(desk: Desk, order: orders.Submit) -> None:
-    orders.proper(order, desk.now)
+def _submit(desk: Transaction, order: orders.SubmitGang) -> None:
+    orders.check_submission(order, desk.now)
     if desk.draft.get(rows.GANGS, order.gang) is not None:
         raise CommandRejectedError(f"{order.gang}: a gang of this name stands; Cancel takes an ended one away")
     row = rows.GangRow(
@@ -179,21 +179,21 @@
     desk.put_gang(order.gang, replace(row, latest_ms=transitions.latest_ms(row, desk.now)))
 
 
-def _cancel(desk: Desk, order: orders.Cancel) -> None:
+def _cancel(desk: Transaction, order: orders.CancelGang) -> None:
     row = desk.gang(order.gang)
     if row.state not in ("done", "failed"):
         transitions.over(desk, order.gang, "failed", f"cancelled by {desk.context.client}: {order.reason}")
         return
-    living = sorted({spot.node for _, one in desk.members(order.gang) if (spot := members.live(one))})
+    living = sorted({spot.node for _, one in desk.members(order.gang) if (spot := members.active_incarnation(one))})
     if living:
         raise CommandRejectedError(f"{order.gang}: {row.state}, and still being stopped on {', '.join(living)}")
     desk.remove(order.gang)
 
 
-def _here(desk: Desk, order: orders.Here) -> list[str]:
+def _here(desk: Transaction, order: orders.RegisterAgent) -> list[str]:
     """One session of a node's agent at a time; the next only after the one before has ended."""
     by, session = desk.context.client, desk.context.session
-    node, hand = desk.node(by), desk.draft.get(rows.HANDS, by)
+    node, hand = desk.node(by), desk.draft.get(rows.AGENTS, by)
     if node is None or node.life != order.life:
         known = "no such node" if node is None else f"its life is {node.life}"
         raise CommandRejectedError(f"{by}: life {order.life}; {known}")
@@ -206,19 +206,19 @@
             f"{by}: session {session} spoke for life {hand.life}; life {order.life} begins its own"
         )
     gangs = _released(desk, by)
-    desk.draft.put(rows.HANDS, by, rows.HandRow(session, order.life))
+    desk.draft.put(rows.AGENTS, by, rows.AgentRow(session, order.life))
     if desk.draft.under.count(rows.QUEUE):
         desk.round(desk.now)
     return gangs
 
 
-def _released(desk: Desk, node: str) -> list[str]:
+def _released(desk: Transaction, node: str) -> list[str]:
     """What an ended session had started there works no more: by time, or by its agent's next word."""
-    hand = desk.draft.get(rows.HANDS, node)
+    hand = desk.draft.get(rows.AGENTS, node)
     if hand is None or hand.session:
         return []
-    desk.draft.put(rows.DUES, due_key(hand.ended_ms + members.LET_GO_MS, ROUND + node), None)
-    desk.draft.put(rows.HANDS, node, None)
+    desk.draft.put(rows.TIMERS, timer_key(hand.ended_ms + members.RELEASE_DELAY_MS, PLACEMENT_ROUND + node), None)
+    desk.draft.put(rows.AGENTS, node, None)
     gangs = []
     for gang, number in desk.on_node(node):
         if desk.member(gang, number).old_node == node:
@@ -227,33 +227,33 @@
     return list(dict.fromkeys(gangs))
 
 
-def _member(desk: Desk, order: orders.Started | orders.Stopped | orders.Failed) -> bool:
+def _member(desk: Transaction, order: orders.ReportStarted | orders.ReportStopped | orders.ReportFailed) -> bool:
     """What the agent of a node says of one member there; False: the same again, which changes nothing."""
     desk.hand()
     by, member = desk.context.client, desk.member(order.gang, order.member)
     where = f"{order.gang}/{order.member}"
     desk.gang(order.gang)
     leaves = member.state == "fencing" and member.old_node == by and order.fence >= member.old_fence
-    if leaves and not isinstance(order, orders.Started):
+    if leaves and not isinstance(order, orders.ReportStarted):
         transitions.let_go(desk, order.gang, order.member)
         return True
-    spot = members.live(member)
+    spot = members.active_incarnation(member)
     if spot is None or spot.node != by or spot.fence != order.fence:
         raise CommandRejectedError(f"{where}: fence {order.fence} on {by} is not where it runs; nothing changes")
-    if isinstance(order, orders.Started):
+    if isinstance(order, orders.ReportStarted):
         if member.state != "starting":
             return False
         desk.put_member(order.gang, order.member, replace(member, state="running"))
         return True
-    why = order.reason if isinstance(order, orders.Failed) else "stopped without an order"
+    why = order.reason if isinstance(order, orders.ReportFailed) else "stopped without an order"
     row = desk.change(order.gang, tries=desk.gang(order.gang).tries + 1)
-    if row.tries >= transitions.MOST_TRIES and row.state not in ("done", "failed", "waiting"):
+    if row.tries >= transitions.MAX_FAILURES and row.state not in ("done", "failed", "waiting"):
         transitions.over(desk, order.gang, "failed", f"fell {row.tries} times since epoch {row.epoch}; last: {why}")
     transitions.lost(desk, order.gang, [order.member], f"member {order.member} on {by}: {why}", gone=True)
     return True
 
 
-def _measured(desk: Desk, order: orders.Measured) -> None:
+def _measured(desk: Transaction, order: orders.ReportCosts) -> None:
     """By an agent that runs a member of it."""
     desk.hand()
     row = desk.gang(order.gang)
@@ -266,4 +266,4 @@
     )
 
 
-APPLICATION = Gangs(Agreed(), carbon_placement.prefer)
+APPLICATION = GangSchedulingApplication(DisruptionPermits(), carbon_placement.prefer)
--- a/brookreach/gang_scheduling/carbon_placement.py
+++ b/brookreach/gang_scheduling/carbon_placement.py
@@ -15,7 +15,7 @@
 from brookreach.carbon_aware.tables import CURRENT, HOLDS, SLOT_MS, HoldRow
 from brookreach.gang_scheduling import transitions
 from brookreach.gang_scheduling.tables import GANGS, QUEUE, GangRow
-from brookreach.gang_scheduling.transaction import Desk
+from brookreach.gang_scheduling.transaction import Transaction
 
 MOST_PLANS = 4  # in one record, on average: each can take 20 ms, and a leader not heard for 300 is replaced
 TURN_MS = 5_000  # as rounds of placing come
@@ -25,7 +25,7 @@
     return f"gang:{name}"
 
 
-def free_by_zone(desk: Desk) -> dict[str, int]:
+def free_by_zone(desk: Transaction) -> dict[str, int]:
     """Room for flexible work: what is free, and what flexible gangs hold."""
     free: dict[str, int] = {}
     for one in desk.stock.nodes.values():
@@ -41,7 +41,7 @@
     return free
 
 
-def prefer(desk: Desk, name: str, row: GangRow) -> tuple[tuple[str, ...], int]:
+def prefer(desk: Transaction, name: str, row: GangRow) -> tuple[tuple[str, ...], int]:
     """Zones (none: any), and from when on; its room there is reserved, so that the next one counts it.
 
     One run of all its work is planned: nothing pauses or moves a running gang for power, so a plan of several
@@ -66,19 +66,19 @@
     return ((choice.zone,), choice.from_ms) if choice.zone else ((), desk.now)
 
 
-def its_turn(desk: Desk, name: str) -> bool:
+def its_turn(desk: Transaction, name: str) -> bool:
     """Among many who wait each is asked about once in so many rounds, always in the same ones."""
     turns = -(-waiting(desk) // MOST_PLANS)
     return turns <= 1 or zlib.crc32(name.encode()) % turns == desk.now // TURN_MS % turns
 
 
 @lru_cache(maxsize=1)
-def waiting(desk: Desk) -> int:
+def waiting(desk: Transaction) -> int:
     """As the record's first question found them: those that fell in this very record, too."""
     return desk.draft.count(QUEUE)
 
 
-def as_held(desk: Desk, name: str) -> tuple[tuple[str, ...], int]:
+def as_held(desk: Transaction, name: str) -> tuple[tuple[str, ...], int]:
     """By what it has reserved; without, it waits for its turn. Its words stay the same for the slot."""
     slot = desk.now // SLOT_MS
     held: HoldRow | None = desk.draft.get(HOLDS, who(name))
@@ -89,7 +89,7 @@
     return (zone,), max(desk.now, first * SLOT_MS)
 
 
-def let_go(desk: Desk, name: str, row: GangRow) -> None:
+def let_go(desk: Transaction, name: str, row: GangRow) -> None:
     """It has ended: what it reserved is for others."""
     if row.flexible:
         desk.draft.take(release(desk.draft, who(name)))
--- a/brookreach/gang_scheduling/checkpoint_interval.py
+++ b/brookreach/gang_scheduling/checkpoint_interval.py
@@ -8,13 +8,13 @@
 
 from math import isqrt
 
-from brookreach.gang_scheduling.tables import GangRow, SumsRow
+from brookreach.gang_scheduling.tables import GangRow, TotalsRow
 
 PRIOR_MS = 30 * 86_400_000  # of one member between failures, until more was measured: counts as one failure
 LEAST_MS = 1000
 
 
-def member_mtbf_ms(sums: SumsRow) -> int:
+def member_mtbf_ms(sums: TotalsRow) -> int:
     """One member's mean time between failures. The prior is one failure in `PRIOR_MS`, so none is no
     infinity.
     """
@@ -30,7 +30,7 @@
     return max(LEAST_MS, root + cost_ms // 3 + root * cost_ms // (18 * mtbf_ms) - cost_ms)
 
 
-def interval_ms(row: GangRow, sums: SumsRow) -> int:
+def interval_ms(row: GangRow, sums: TotalsRow) -> int:
     """A gang falls when any of its members does."""
     return daly_ms(row.cost_ms, max(1, member_mtbf_ms(sums) // row.members))
 
--- a/brookreach/gang_scheduling/checkpoints.py
+++ b/brookreach/gang_scheduling/checkpoints.py
@@ -10,22 +10,22 @@
 
 from brookreach.coordination.state_machine.application import CommandRejectedError
 from brookreach.gang_scheduling import transitions
-from brookreach.gang_scheduling.commands import Confirmed
-from brookreach.gang_scheduling.migration import leaves_ms
+from brookreach.gang_scheduling.commands import ConfirmCheckpoint
+from brookreach.gang_scheduling.migration import departure_ms
 from brookreach.gang_scheduling.tables import GangRow
-from brookreach.gang_scheduling.transaction import Desk
+from brookreach.gang_scheduling.transaction import Transaction
 
 GIVE_UP_MS = 30_000  # and four times the cost
 
 
-def ask(desk: Desk, name: str, reason: str) -> None:
+def ask(desk: Transaction, name: str, reason: str) -> None:
     """All members pause at one point of the work and keep it."""
     row = transitions.paused(desk, name, desk.gang(name), "checkpointing", reason)
     wake = min(desk.next_look(), desk.now + GIVE_UP_MS + 4 * row.cost_ms)
     desk.change(name, asked_epoch=row.asked_epoch + 1, asked_ms=desk.now, wake_ms=wake)
 
 
-def confirm(desk: Desk, order: Confirmed) -> bool:
+def confirm(desk: Transaction, order: ConfirmCheckpoint) -> bool:
     """One member's part; False: said before. Raises CommandRejectedError for another epoch, fence or node than was
     asked.
     """
@@ -55,12 +55,12 @@
     return True
 
 
-def is_whole(desk: Desk, name: str) -> bool:
+def is_whole(desk: Transaction, name: str) -> bool:
     row = desk.gang(name)
     return all(member.epoch == row.asked_epoch for _, member in desk.members(name))
 
 
-def whole(desk: Desk, name: str) -> None:
+def whole(desk: Transaction, name: str) -> None:
     """Every member confirmed the same epoch: it counts, and what waited for it goes on."""
     row = desk.gang(name)
     kept = min(row.work_ms, min(member.work_ms for _, member in desk.members(name)))
@@ -72,7 +72,7 @@
     _leave(desk, name, row.reason)
 
 
-def _leave(desk: Desk, name: str, reason: str) -> None:
+def _leave(desk: Transaction, name: str, reason: str) -> None:
     """Those for whom room is held go to it, those that died meanwhile too; the others stay, paused."""
     row = desk.gang(name)
     until = transitions.ends_ms(desk, row, load=True)
@@ -100,7 +100,7 @@
     transitions.unreserve(desk, name)
 
 
-def look(desk: Desk, name: str) -> None:
+def look(desk: Transaction, name: str) -> None:
     """While one is under way: may it still end?"""
     row = desk.gang(name)
     if is_whole(desk, name):
@@ -118,17 +118,17 @@
     desk.change(name, wake_ms=min(wake))
 
 
-def _cut_short(desk: Desk, name: str, row: GangRow) -> str:
+def _cut_short(desk: Transaction, name: str, row: GangRow) -> str:
     """A notice brought forward: does a node go before its member can confirm? Else the checkpoint goes on."""
     for _, member in desk.members(name):
-        leave = leaves_ms(desk.node(member.node), desk.now) if member.node else 0
+        leave = departure_ms(desk.node(member.node), desk.now) if member.node else 0
         ends = max(row.asked_ms + row.cost_ms, desk.now + 1)
         if member.epoch != row.asked_epoch and leave and leave < ends:
             return f"{member.node} now leaves at {leave}, before epoch {row.asked_epoch} can end: given up"
     return ""
 
 
-def give_up(desk: Desk, name: str, reason: str) -> None:
+def give_up(desk: Transaction, name: str, reason: str) -> None:
     """Members go on with their work, or, where one has fallen, all go back."""
     dead = [number for number, member in desk.members(name) if member.state != "running"]
     if dead:
@@ -138,10 +138,10 @@
     transitions.run_on(desk, name, reason)
 
 
-def _late(desk: Desk, name: str, reason: str) -> None:
+def _late(desk: Transaction, name: str, reason: str) -> None:
     """Members that don't confirm in time: once or twice it may go on, then it is placed anew."""
     row = desk.change(name, tries=desk.gang(name).tries + 1)
-    if row.tries >= transitions.MOST_TRIES:
+    if row.tries >= transitions.MAX_FAILURES:
         transitions.over(desk, name, "failed", reason)
     elif row.tries >= 3:
         transitions.to_waiting(desk, name, reason)
--- a/brookreach/gang_scheduling/commands.py
+++ b/brookreach/gang_scheduling/commands.py
@@ -10,116 +10,129 @@
 from brookreach.coordination.protocol.tags import wire_name
 from brookreach.coordination.state_machine.application import Command, CommandRejectedError, Context
 
-MOST_MEMBERS, MOST_ROOM, MOST_MS = 256, 1 << 32, 1 << 41  # the last: some seventy years
+MAX_MEMBERS, MAX_CAPACITY, MAX_DURATION_MS = 256, 1 << 32, 1 << 41  # the last: some seventy years
 
-Members = Annotated[int, msgspec.Meta(ge=1, le=MOST_MEMBERS)]
-Room = Annotated[int, msgspec.Meta(ge=1, le=MOST_ROOM)]
-Span = Annotated[int, msgspec.Meta(ge=1, le=MOST_MS)]
-Moment = Annotated[int, msgspec.Meta(ge=0, le=1 << 50)]
-Member = Annotated[int, msgspec.Meta(ge=0, lt=MOST_MEMBERS)]
-Gang = Annotated[str, msgspec.Meta(min_length=1, max_length=64, pattern=r"^[A-Za-z0-9._-]+\Z")]
+MemberCount = Annotated[int, msgspec.Meta(ge=1, le=MAX_MEMBERS)]
+Capacity = Annotated[int, msgspec.Meta(ge=1, le=MAX_CAPACITY)]
+DurationMs = Annotated[int, msgspec.Meta(ge=1, le=MAX_DURATION_MS)]
+TimestampMs = Annotated[int, msgspec.Meta(ge=0, le=1 << 50)]
+MemberIndex = Annotated[int, msgspec.Meta(ge=0, lt=MAX_MEMBERS)]
+GangName = Annotated[str, msgspec.Meta(min_length=1, max_length=64, pattern=r"^[A-Za-z0-9._-]+\Z")]
 
 
-class Submit(Command, frozen=True):
+class SubmitGang(Command, frozen=True, tag="Submit"):
     """A new gang. `deadline_ms` 0: none. `flexible`: it may wait, and move, for cleaner power."""
 
-    gang: Gang
-    members: Members
-    room: Room  # of each member
-    work_ms: Span
-    cost_ms: Span  # of a checkpoint, until it is measured
-    load_ms: Span
-    deadline_ms: Moment = 0
+    gang: GangName
+    members: MemberCount
+    room: Capacity  # of each member
+    work_ms: DurationMs
+    cost_ms: DurationMs  # of a checkpoint, until it is measured
+    load_ms: DurationMs
+    deadline_ms: TimestampMs = 0
     zones: Annotated[tuple[Name, ...], msgspec.Meta(max_length=64)] = ()
     builds: Annotated[tuple[Count, ...], msgspec.Meta(max_length=64)] = ()
     flexible: bool = False
 
 
-class Cancel(Command, frozen=True):
+class CancelGang(Command, frozen=True, tag="Cancel"):
     """An operator ends a gang; of one that has ended it takes the rows away."""
 
-    gang: Gang
+    gang: GangName
     reason: Text
 
 
-class Here(Command, frozen=True):
+class RegisterAgent(Command, frozen=True, tag="Here"):
     """A node's agent: this session of mine carries out orders, and nothing of an earlier one works."""
 
     life: Count
 
 
-class Confirmed(Command, frozen=True):
+class ConfirmCheckpoint(Command, frozen=True, tag="Confirmed"):
     """An agent: the member's part of this epoch is kept, away from the node."""
 
-    gang: Gang
-    member: Member
+    gang: GangName
+    member: MemberIndex
     epoch: Count
     node: Name
     life: Count
     fence: Count
-    work_ms: Moment
+    work_ms: TimestampMs
 
 
-class Started(Command, frozen=True):
+class ReportStarted(Command, frozen=True, tag="Started"):
     """An agent: loaded, and waits for the others."""
 
-    gang: Gang
-    member: Member
+    gang: GangName
+    member: MemberIndex
     fence: Count
 
 
-class Stopped(Command, frozen=True):
+class ReportStopped(Command, frozen=True, tag="Stopped"):
     """An agent: no incarnation up to this fence works on this node, nor ever will."""
 
-    gang: Gang
-    member: Member
+    gang: GangName
+    member: MemberIndex
     fence: Count
 
 
-class Failed(Command, frozen=True):
+class ReportFailed(Command, frozen=True, tag="Failed"):
     """An agent: it ended by itself."""
 
-    gang: Gang
-    member: Member
+    gang: GangName
+    member: MemberIndex
     fence: Count
     reason: Text
 
 
-class Measured(Command, frozen=True):
+class ReportCosts(Command, frozen=True, tag="Measured"):
     """An agent: what a checkpoint and a load really cost; 0 for what was not measured."""
 
-    gang: Gang
-    cost_ms: Moment
-    load_ms: Moment
+    gang: GangName
+    cost_ms: TimestampMs
+    load_ms: TimestampMs
 
 
-class Noticed(Command, frozen=True):
+class ReconcileNode(Command, frozen=True, tag="Noticed"):
     """Anybody: this node's row has changed, look at the gangs on it now. It says nothing of its own."""
 
     node: Name
 
 
-Orders = Submit | Cancel | Here | Confirmed | Started | Stopped | Failed | Measured | Noticed
-BY_OPERATORS, BY_AGENTS = (Submit, Cancel), (Here, Confirmed, Started, Stopped, Failed, Measured)
-
-
-def permitted(order: Orders, context: Context) -> None:
+Commands = (
+    SubmitGang
+    | CancelGang
+    | RegisterAgent
+    | ConfirmCheckpoint
+    | ReportStarted
+    | ReportStopped
+    | ReportFailed
+    | ReportCosts
+    | ReconcileNode
+)
+OPERATOR_COMMANDS, AGENT_COMMANDS = (
+    (SubmitGang, CancelGang),
+    (RegisterAgent, ConfirmCheckpoint, ReportStarted, ReportStopped, ReportFailed, ReportCosts),
+)
+
+
+def check_sender(order: Commands, context: Context) -> None:
     """Raises CommandRejectedError where this client may not say that."""
     who = f"{context.client!r} is {context.client_kind or 'the group'}"
-    if isinstance(order, BY_OPERATORS) and context.client_kind != "operator":
+    if isinstance(order, OPERATOR_COMMANDS) and context.client_kind != "operator":
         raise CommandRejectedError(f"{wire_name(order)} is for operators; {who}")
-    if isinstance(order, BY_AGENTS) and context.client_kind != "agent":
+    if isinstance(order, AGENT_COMMANDS) and context.client_kind != "agent":
         raise CommandRejectedError(f"{wire_name(order)} is for agents; {who}")
 
 
-def proper(order: Submit, now: int) -> None:
+def check_submission(order: SubmitGang, now: int) -> None:
     """Raises CommandRejectedError with what stands there and what is allowed, beyond what each field's bounds say."""
     bounds = (
-        ("members", order.members, MOST_MEMBERS),
-        ("room", order.room, MOST_ROOM),
-        ("work_ms", order.work_ms, MOST_MS),
-        ("cost_ms", order.cost_ms, MOST_MS),
-        ("load_ms", order.load_ms, MOST_MS),
+        ("members", order.members, MAX_MEMBERS),
+        ("room", order.room, MAX_CAPACITY),
+        ("work_ms", order.work_ms, MAX_DURATION_MS),
+        ("cost_ms", order.cost_ms, MAX_DURATION_MS),
+        ("load_ms", order.load_ms, MAX_DURATION_MS),
     )
     for name, value, most in bounds:
         if not 1 <= value <= most:
--- a/brookreach/gang_scheduling/disruption_permits.py
+++ b/brookreach/gang_scheduling/disruption_permits.py
@@ -13,7 +13,7 @@
 from brookreach.disruption.tables import PERMITS, PermitRow
 
 
-class Permits(Protocol):
+class PermitProvider(Protocol):
     """What gangs need of it; the drill's own budget is another."""
 
     def ask(self, draft: StagedChanges, context: Context, name: str, node: str, urgency: int, reason: str) -> str:
@@ -29,7 +29,7 @@
         ...
 
 
-class Agreed:
+class DisruptionPermits:
     """By the budgets, queue and halts of `brookreach.disruption`."""
 
     def ask(self, draft: StagedChanges, context: Context, name: str, node: str, urgency: int, reason: str) -> str:
@@ -53,12 +53,12 @@
             permits.done(draft, context, name)
 
 
-def named(gang: str, fence: int, member: int) -> str:
+def permit_name(gang: str, fence: int, member: int) -> str:
     """One that nobody has asked for before, and short enough for any gang's name."""
     return f"gangs:{gang}:{fence}.{member}"
 
 
-def node_of(draft: StagedChanges, name: str) -> str:
+def permit_target(draft: StagedChanges, name: str) -> str:
     """The node that it is for; "" where it stands no more."""
     row: PermitRow | None = draft.get(PERMITS, name)
     return row.target if row is not None else ""
--- a/brookreach/gang_scheduling/gang_file.py
+++ b/brookreach/gang_scheduling/gang_file.py
@@ -13,20 +13,20 @@
 from brookreach.coordination.state_machine.application import CommandRejectedError
 from brookreach.files import BadFile, checked, read_toml
 from brookreach.gang_scheduling import commands
-from brookreach.gang_scheduling.commands import Gang, Members, Room, Span, Submit
+from brookreach.gang_scheduling.commands import Capacity, DurationMs, GangName, MemberCount, SubmitGang
 
 
-class GangPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class GangSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """[[gang]]: a long job. `cost_ms` and `load_ms` are first guesses; what agents measure takes their
     place.
     """
 
-    name: Gang
-    members: Members
-    room: Room
-    work_ms: Span
-    cost_ms: Span
-    load_ms: Span
+    name: GangName
+    members: MemberCount
+    room: Capacity
+    work_ms: DurationMs
+    cost_ms: DurationMs
+    load_ms: DurationMs
     deadline: datetime | None = None  # with an offset
     zones: tuple[str, ...] = ()
     builds: tuple[int, ...] = ()
@@ -36,10 +36,10 @@
 class GangsFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """All gangs of one file."""
 
-    gang: tuple[GangPart, ...]
+    gang: tuple[GangSection, ...]
 
 
-def read(file: Path, now_ms: int) -> list[Submit]:
+def read_gang_file(file: Path, now_ms: int) -> list[SubmitGang]:
     """Raises BadFile with all that is wrong, each by its key's path."""
     told, errors, made = checked(file, read_toml(file), GangsFile), [], []
     names = [one.name for one in told.gang]
@@ -52,7 +52,7 @@
             continue
         order = _order(one)
         try:
-            commands.proper(order, now_ms)
+            commands.check_submission(order, now_ms)
         except CommandRejectedError as refusal:
             errors.append(f"{where}: {refusal}")
         made.append(order)
@@ -61,9 +61,9 @@
     return made
 
 
-def _order(one: GangPart) -> Submit:
+def _order(one: GangSection) -> SubmitGang:
     at = int(one.deadline.astimezone(UTC).timestamp()) * 1000 if one.deadline is not None else 0
-    return Submit(
+    return SubmitGang(
         one.name,
         one.members,
         one.room,
--- a/brookreach/gang_scheduling/members.py
+++ b/brookreach/gang_scheduling/members.py
@@ -14,15 +14,15 @@
 
 from brookreach.gang_scheduling.tables import MemberRow
 
-LET_GO_MS = 15_000
+RELEASE_DELAY_MS = 15_000
 """After a session of an agent ended, before what it started is taken for stopped. More than the longest grant
 (a lease x (1 + drift)) and the farthest that a new leader's agreed time may lie ahead, together."""
 
-NOWHERE = MemberRow("", 0, 0, "none", 0)
+UNASSIGNED = MemberRow("", 0, 0, "none", 0)
 
 
 @dataclass(frozen=True, slots=True)
-class Spot:
+class Incarnation:
     """One incarnation's place: a node, the life of it, the fence it was started under."""
 
     node: str
@@ -30,45 +30,45 @@
     fence: int
 
 
-def live(row: MemberRow) -> Spot | None:
+def active_incarnation(row: MemberRow) -> Incarnation | None:
     """Where an incarnation may live now."""
     if row.state == "fencing":
-        return Spot(row.old_node, row.old_life, row.old_fence)
+        return Incarnation(row.old_node, row.old_life, row.old_fence)
     if row.state in ("starting", "running"):
-        return Spot(row.node, row.life, row.fence)
+        return Incarnation(row.node, row.life, row.fence)
     return None
 
 
-def held(row: MemberRow) -> tuple[str, ...]:
+def reserved_nodes(row: MemberRow) -> tuple[str, ...]:
     """The nodes whose room it takes."""
     return tuple(sorted({node for node in (row.node, row.old_node, row.next_node) if node}))
 
 
-def sent(row: MemberRow, node: str, life: int, fence: int) -> MemberRow:
+def assign(row: MemberRow, node: str, life: int, fence: int) -> MemberRow:
     """It is to run there under this fence. On the node where it lives the agent itself ends the older
     one first.
     """
-    at = live(row)
+    at = active_incarnation(row)
     if at is None or at.node == node:
         return MemberRow(node, life, fence, "starting", row.epoch, work_ms=row.work_ms)
     return MemberRow(node, life, fence, "fencing", row.epoch, at.node, at.fence, at.life, work_ms=row.work_ms)
 
 
-def away(row: MemberRow) -> MemberRow:
+def unassign(row: MemberRow) -> MemberRow:
     """It is to run nowhere."""
-    at = live(row)
+    at = active_incarnation(row)
     if at is None:
         return MemberRow("", 0, row.fence, "stopped", row.epoch, work_ms=row.work_ms)
     return MemberRow("", 0, row.fence, "fencing", row.epoch, at.node, at.fence, at.life, work_ms=row.work_ms)
 
 
-def let_go(row: MemberRow) -> MemberRow:
+def release(row: MemberRow) -> MemberRow:
     """Nothing lives at its old place any more, or nothing at its only one."""
     if row.state == "fencing" and row.node:
         return MemberRow(row.node, row.life, row.fence, "starting", row.epoch, work_ms=row.work_ms)
     return MemberRow("", 0, row.fence, "stopped", row.epoch, work_ms=row.work_ms)
 
 
-def reserved(row: MemberRow, node: str, life: int) -> MemberRow:
+def reserve(row: MemberRow, node: str, life: int) -> MemberRow:
     """Room is held for it there; it stays where it is."""
     return replace(row, next_node=node, next_life=life)
--- a/brookreach/gang_scheduling/migration.py
+++ b/brookreach/gang_scheduling/migration.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Post:
+class MemberOnNode:
     """Where one member works, and when that node will not be there (0: it stays)."""
 
     number: int
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sight:
+class RunningGang:
     """A running gang at one moment."""
 
     now: int
@@ -58,7 +58,7 @@
     reason: str
 
 
-def leaves_ms(row: NodeRow | None, now: int) -> int:
+def departure_ms(row: NodeRow | None, now: int) -> int:
     """When a node will not be there for work that runs on it; 0: no such time is known. `down` is what
     marshals see: the agent's session says whether work goes on there.
     """
@@ -81,7 +81,7 @@
     return leave_ms - cost_ms - SPARE_MS - cost_ms // 4
 
 
-def begin_ms(sight: Sight, leave_ms: int) -> int:
+def begin_ms(sight: RunningGang, leave_ms: int) -> int:
     """From when on it tries to leave: far from the notice only together with a checkpoint that is due
     anyway.
     """
@@ -91,8 +91,8 @@
 
 
 def decide(
-    sight: Sight,
-    posts: Sequence[Post],
+    sight: RunningGang,
+    posts: Sequence[MemberOnNode],
     given_ms: Mapping[str, int],
     room: Callable[[tuple[int, ...]], bool],
     free_to_go: Callable[[str], bool],
@@ -124,8 +124,8 @@
 
 
 def _leave(
-    sight: Sight,
-    leaving: Sequence[Post],
+    sight: RunningGang,
+    leaving: Sequence[MemberOnNode],
     given_ms: Mapping[str, int],
     room: Callable[[tuple[int, ...]], bool],
     free_to_go: Callable[[str], bool],
@@ -163,7 +163,7 @@
 
 
 def _may_go(
-    movers: Sequence[Post], given_ms: Mapping[str, int], free_to_go: Callable[[str], bool], before: int
+    movers: Sequence[MemberOnNode], given_ms: Mapping[str, int], free_to_go: Callable[[str], bool], before: int
 ) -> tuple[int, ...]:
     """All of them once all may; those that may, where the others have kept them waiting since `before`."""
     may = [one for one in movers if free_to_go(one.node) or one.node in given_ms]
@@ -179,7 +179,7 @@
     return ", ".join(str(one) for one in numbers)
 
 
-def urgency(row: GangRow, sight: Sight, leave_ms: int) -> int:
+def urgency(row: GangRow, sight: RunningGang, leave_ms: int) -> int:
     """0 to 9 for a permit: how soon the node goes beside what a move takes, and what is lost if it goes
     first: the deadline, or more work than a move costs.
     """
--- a/brookreach/gang_scheduling/placement.py
+++ b/brookreach/gang_scheduling/placement.py
@@ -16,14 +16,14 @@
 
 from brookreach.coordination.state_machine.application import View
 from brookreach.disruption.tables import NODES, RELEASES, NodeRow
-from brookreach.gang_scheduling.tables import HANDS, ROOMS, GangRow
+from brookreach.gang_scheduling.tables import AGENTS, RESERVED_CAPACITY, GangRow
 
 HORIZON_MS = 6 * 3_600_000
 ON_TRIAL = ("waiting", "on", "halted", "going back", "sent back")
 
 
 @dataclass(slots=True)
-class Free:
+class NodeCapacity:
     """One node that may be a target."""
 
     node: str
@@ -34,7 +34,7 @@
     retires_ms: int
 
 
-def stays(row: NodeRow | None, now: int, until: int) -> bool:
+def is_schedulable(row: NodeRow | None, now: int, until: int) -> bool:
     """Is it a fit place for work that ends at `until`? Room and agents are not looked at."""
     if row is None or row.standing != "ready" or row.warm_ms > now:
         return False
@@ -55,26 +55,26 @@
     return caps
 
 
-class Stock:
+class CapacityIndex:
     """All targets of one moment, from one reading of the nodes; what is taken from it is gone from it."""
 
     def __init__(self, view: View, now: int):
         self.now, self.caps = now, trial_caps(view)
         self.all = 0  # room held by gangs
         self.on = dict.fromkeys(self.caps, 0)  # and on builds on trial
-        self.nodes: dict[str, Free] = {}
+        self.nodes: dict[str, NodeCapacity] = {}
         self.groups: dict[tuple[str, int], SortedKeyList] = {}  # without notice, by zone and build
-        self.leaving: list[Free] = []  # with a notice
+        self.leaving: list[NodeCapacity] = []  # with a notice
         for name, row in view.rows(NODES):
-            taken = view.get(ROOMS, name)
+            taken = view.get(RESERVED_CAPACITY, name)
             used = taken.taken if taken else 0
             self.all += used
             if row.build in self.on:
                 self.on[row.build] += used
-            hand = view.get(HANDS, name)
-            if hand is None or not hand.session or hand.life != row.life or not stays(row, now, now):
+            hand = view.get(AGENTS, name)
+            if hand is None or not hand.session or hand.life != row.life or not is_schedulable(row, now, now):
                 continue
-            free = Free(name, row.life, row.zone, row.build, row.room - used, row.retires_ms)
+            free = NodeCapacity(name, row.life, row.zone, row.build, row.room - used, row.retires_ms)
             self.nodes[name] = free
             if free.retires_ms:
                 self.leaving.append(free)
@@ -108,12 +108,12 @@
 
     def fit(
         self, row: GangRow, count: int, until: int, zones: Sequence[str] = (), but: Sequence[str] = ()
-    ) -> list[Free] | None:
+    ) -> list[NodeCapacity] | None:
         """A node for each of `count` members, few nodes and the tightest; None: there is no room for all.
 
         `zones` narrows the row's own; `but` names nodes that are no targets.
         """
-        found: list[Free] = []
+        found: list[NodeCapacity] = []
         used: dict[str, int] = {}
         trial: dict[int, int] = {}
         groups = [
@@ -136,7 +136,7 @@
             trial[free.build] = trial.get(free.build, 0) + fits * row.room
         return found
 
-    def _under(self, row: GangRow, free: Free, fits: int, trial: dict[int, int], placed: int) -> bool:
+    def _under(self, row: GangRow, free: NodeCapacity, fits: int, trial: dict[int, int], placed: int) -> bool:
         there = trial.get(free.build, 0) + fits * row.room
         return self.under_cap(free.build, there, (placed + fits) * row.room)
 
@@ -149,9 +149,9 @@
         trial: dict[int, int],
         but: Sequence[str],
         placed: int,
-    ) -> Free | None:
+    ) -> NodeCapacity | None:
         """The smallest room that takes all that is left; else the largest there is."""
-        best: tuple[tuple[int, int, str], Free] | None = None
+        best: tuple[tuple[int, int, str], NodeCapacity] | None = None
         for _, group in groups:
             at = group.bisect_key_left((left * row.room, ""))
             found = next((one for one in group.islice(at) if _open(one, used, but)), None)
@@ -175,7 +175,7 @@
         trial: dict[int, int],
         but: Sequence[str],
         placed: int,
-    ) -> Free | None:
+    ) -> NodeCapacity | None:
         """Where nothing else is: the one whose notice lies farthest off, still past `until` or the
         horizon.
         """
@@ -204,5 +204,5 @@
     return places, nodes
 
 
-def _open(one: Free, used: dict[str, int], but: Sequence[str]) -> bool:
+def _open(one: NodeCapacity, used: dict[str, int], but: Sequence[str]) -> bool:
     return one.node not in used and one.node not in but
--- a/brookreach/gang_scheduling/queue.py
+++ b/brookreach/gang_scheduling/queue.py
@@ -10,17 +10,17 @@
 from collections.abc import Callable
 
 from brookreach.gang_scheduling import transitions
-from brookreach.gang_scheduling.placement import Stock, allowed
-from brookreach.gang_scheduling.tables import PLACES, QUEUE, GangRow
-from brookreach.gang_scheduling.transaction import Desk
+from brookreach.gang_scheduling.placement import CapacityIndex, allowed
+from brookreach.gang_scheduling.tables import QUEUE, SLOTS, GangRow
+from brookreach.gang_scheduling.transaction import Transaction
 
 ROUND_MS = 5_000  # while anybody waits
 
-Prefer = Callable[[Desk, str, GangRow], "tuple[tuple[str, ...], int]"]
+Prefer = Callable[[Transaction, str, GangRow], "tuple[tuple[str, ...], int]"]
 """Zones that a flexible gang is to run in (none: any), and from when on."""
 
 
-def place_waiting(desk: Desk, prefer: Prefer | None = None) -> None:
+def place_waiting(desk: Transaction, prefer: Prefer | None = None) -> None:
     """One round, at most one reading of the nodes more where somebody has to be promised room."""
     desk.round_over()
     promise: Promise | None = None
@@ -55,12 +55,12 @@
         desk.round(desk.now + ROUND_MS)
 
 
-def _told(desk: Desk, name: str, row: GangRow, reason: str) -> None:
+def _told(desk: Transaction, name: str, row: GangRow, reason: str) -> None:
     if row.reason != reason:
         desk.change(name, reason=reason)
 
 
-def _why(desk: Desk, row: GangRow, promise: Promise) -> str:
+def _why(desk: Transaction, row: GangRow, promise: Promise) -> str:
     """Words that do not change while nothing does."""
     fits = sum(
         max(0, free.room) // row.room
@@ -81,7 +81,7 @@
         self.name, self.at_ms, self.spots = name, at_ms, spots
         self.kept: dict[str, int] = {}
 
-    def lay(self, stock: Stock) -> None:
+    def lay(self, stock: CapacityIndex) -> None:
         for node, room in self.spots.items():
             free = stock.nodes.get(node)
             kept = min(room, max(0, free.room)) if free else 0
@@ -89,25 +89,25 @@
                 self.kept[node] = kept
                 stock.take(node, kept)
 
-    def lift(self, stock: Stock) -> None:
+    def lift(self, stock: CapacityIndex) -> None:
         """For one that ends before the promise: it may have what is kept."""
         for node, room in self.kept.items():
             stock.take(node, -room)
         self.kept = {}
 
 
-def _ends_ms(desk: Desk, name: str) -> int:
+def _ends_ms(desk: Transaction, name: str) -> int:
     """When its room is free: of one that is being stopped, soon."""
     row = desk.gang(name)
     active = row.state in ("placing", "running", "checkpointing", "moving")
     return transitions.ends_ms(desk, row, load=False) if active else desk.now
 
 
-def promised(desk: Desk, name: str, row: GangRow) -> Promise:
+def promised(desk: Transaction, name: str, row: GangRow) -> Promise:
     """When there will be room for it, if all that runs ends when it is expected to, and where."""
-    later = Stock(desk.draft, desk.now)
+    later = CapacityIndex(desk.draft, desk.now)
     held: dict[str, list[tuple[str, int]]] = {}
-    for key, place in desk.draft.rows(PLACES):
+    for key, place in desk.draft.rows(SLOTS):
         node, other, _ = key.split("/")
         held.setdefault(other, []).append((node, place.room))
     span = transitions.ends_ms(desk, row, load=True) - desk.now
--- a/brookreach/gang_scheduling/reconcile.py
+++ b/brookreach/gang_scheduling/reconcile.py
@@ -9,17 +9,17 @@
 
 from brookreach.gang_scheduling import checkpoint_interval, checkpoints, migration, transitions
 from brookreach.gang_scheduling import members as seats
-from brookreach.gang_scheduling.disruption_permits import named, node_of
-from brookreach.gang_scheduling.migration import Post, Sight, Step
+from brookreach.gang_scheduling.disruption_permits import permit_name, permit_target
+from brookreach.gang_scheduling.migration import MemberOnNode, RunningGang, Step
 from brookreach.gang_scheduling.tables import GangRow
-from brookreach.gang_scheduling.transaction import Desk
+from brookreach.gang_scheduling.transaction import Transaction
 
 LAG_MS = 2000
 NOT_NOW = "a move is not wanted or possible any more"
 PERMIT_MS = 1000  # while permits are waited for; at full seconds: all that wait are looked at together
 
 
-def look(desk: Desk, name: str) -> None:
+def reconcile(desk: Transaction, name: str) -> None:
     """Until its state stands still."""
     for _ in range(6):
         transitions.later_lives(desk, name)
@@ -29,7 +29,7 @@
             return
 
 
-def _by_state(desk: Desk, name: str, row: GangRow) -> None:
+def _by_state(desk: Transaction, name: str, row: GangRow) -> None:
     if row.state == "running":
         _running(desk, name, row)
     elif row.state == "checkpointing":
@@ -42,22 +42,22 @@
         _ended(desk, name, row)
 
 
-def _living(desk: Desk, name: str) -> list[str]:
+def _living(desk: Transaction, name: str) -> list[str]:
     """Nodes where something of it may work."""
-    spots = [seats.live(member) for _, member in desk.members(name)]
+    spots = [seats.active_incarnation(member) for _, member in desk.members(name)]
     return [one.node for one in spots if one is not None]
 
 
-def _ended(desk: Desk, name: str, row: GangRow) -> None:
+def _ended(desk: Transaction, name: str, row: GangRow) -> None:
     if _living(desk, name):
         desk.change(name, wake_ms=desk.next_look())
-    elif desk.now >= row.since_ms + transitions.KEEP_MS:
+    elif desk.now >= row.since_ms + transitions.RETENTION_MS:
         desk.remove(name)
     else:
-        desk.change(name, wake_ms=row.since_ms + transitions.KEEP_MS)
+        desk.change(name, wake_ms=row.since_ms + transitions.RETENTION_MS)
 
 
-def _gathering(desk: Desk, name: str, row: GangRow) -> None:
+def _gathering(desk: Transaction, name: str, row: GangRow) -> None:
     """Placing or moving: until all run, within the stated time, and only to nodes that are still fit."""
     members = desk.members(name)
     missing = [number for number, one in members if one.state != "running"]
@@ -77,7 +77,7 @@
         desk.change(name, wake_ms=min(transitions.limit_ms(row), desk.next_look()))
 
 
-def _elsewhere(desk: Desk, name: str, row: GangRow, unfit: list[int], until: int) -> None:
+def _elsewhere(desk: Transaction, name: str, row: GangRow, unfit: list[int], until: int) -> None:
     """Nodes that they are on the way to have got a notice, drain or went: others, or where that can
     wait, none.
     """
@@ -97,19 +97,21 @@
         transitions.set_out(desk, name, spots, row.state, f"targets that leave: {', '.join(told)}")
 
 
-def _running(desk: Desk, name: str, row: GangRow) -> None:
+def _running(desk: Transaction, name: str, row: GangRow) -> None:
     members = desk.members(name)
     fallen = [number for number, one in members if one.state != "running"]
     if fallen:
         transitions.go_back(desk, name, fallen, f"members {', '.join(map(str, fallen))} do not run")
         return
-    posts = [Post(number, one.node, migration.leaves_ms(desk.node(one.node), desk.now)) for number, one in members]
+    posts = [
+        MemberOnNode(number, one.node, migration.departure_ms(desk.node(one.node), desk.now)) for number, one in members
+    ]
     sight = _sight(desk, name, row)
     leaving = {post.node for post in posts if post.leave_ms}
     since = {permit: desk.permits.given_ms(desk.draft, permit) for permit in row.permits}
     if -1 in since.values():
         row = desk.change(name, permits=tuple(one for one in row.permits if since[one] >= 0))
-    given = {node_of(desk.draft, one): since[one] for one in row.permits if since[one] > 0}
+    given = {permit_target(desk.draft, one): since[one] for one in row.permits if since[one] > 0}
 
     def room(numbers: tuple[int, ...]) -> bool:
         until = sight.finish_ms + row.load_ms + sight.unsaved_ms  # at the latest: should it have to go back
@@ -121,10 +123,10 @@
     _take(desk, name, row, sight, posts, step)
 
 
-def _sight(desk: Desk, name: str, row: GangRow) -> Sight:
+def _sight(desk: Transaction, name: str, row: GangRow) -> RunningGang:
     # members begin a little after the record that says so, and the last checkpoint waits for them
     left = row.work_ms - row.kept_ms - transitions.unsaved_ms(row, desk.now) + LAG_MS
-    return Sight(
+    return RunningGang(
         now=desk.now,
         left_ms=left,
         finish_ms=transitions.ends_ms(desk, row, load=False) + LAG_MS,
@@ -138,7 +140,9 @@
     )
 
 
-def _take(desk: Desk, name: str, row: GangRow, sight: Sight, posts: list[Post], step: Step) -> None:
+def _take(
+    desk: Transaction, name: str, row: GangRow, sight: RunningGang, posts: list[MemberOnNode], step: Step
+) -> None:
     """The step that was decided."""
     if step.act == "save":
         checkpoints.ask(desk, name, step.reason)
@@ -157,16 +161,16 @@
         desk.change(name, permits=(), reason=reason, wake_ms=min(step.wake_ms, desk.next_look()))
 
 
-def _ask(desk: Desk, name: str, row: GangRow, sight: Sight, posts: list[Post], step: Step) -> None:
+def _ask(desk: Transaction, name: str, row: GangRow, sight: RunningGang, posts: list[MemberOnNode], step: Step) -> None:
     """A permit for each node that stands and is to be left; asked for once."""
-    held, reason = {node_of(desk.draft, permit): permit for permit in row.permits}, step.reason
+    held, reason = {permit_target(desk.draft, permit): permit for permit in row.permits}, step.reason
     for post in posts:
         if post.number not in step.movers or post.node in held:
             continue
         if not migration.needs_permit(desk.node(post.node), desk.now):
             continue
         urgent = migration.urgency(row, sight, post.leave_ms)
-        permit = named(name, desk.index, post.number)
+        permit = permit_name(name, desk.index, post.number)
         refused = desk.permits.ask(desk.draft, desk.context, permit, post.node, urgent, step.reason[:200])
         if refused:
             reason = f"{step.reason}; {refused}"
@@ -176,7 +180,7 @@
     desk.change(name, permits=tuple(held.values()), reason=reason, wake_ms=max(desk.now + 1, min(step.wake_ms, full)))
 
 
-def _reserve(desk: Desk, name: str, row: GangRow, posts: list[Post], step: Step) -> None:
+def _reserve(desk: Transaction, name: str, row: GangRow, posts: list[MemberOnNode], step: Step) -> None:
     """Room for the movers is theirs from here on; they go to it once the checkpoint is whole."""
     leaving = sorted({post.node for post in posts if post.leave_ms})
     until = transitions.ends_ms(desk, row, load=True)
@@ -185,5 +189,5 @@
         desk.change(name, reason=f"{step.reason}; no room any more", wake_ms=desk.now + PERMIT_MS)
         return
     for number, free in zip(step.movers, found, strict=True):
-        desk.put_member(name, number, seats.reserved(desk.member(name, number), free.node, free.life))
+        desk.put_member(name, number, seats.reserve(desk.member(name, number), free.node, free.life))
     checkpoints.ask(desk, name, step.reason)
--- a/brookreach/gang_scheduling/tables.py
+++ b/brookreach/gang_scheduling/tables.py
@@ -6,8 +6,8 @@
 
 from brookreach.coordination.state_machine.application import Row
 
-GANGS, MEMBERS, ROOMS = "gangs", "members", "rooms"
-PLACES, HANDS, QUEUE, DUES, WAKES, SUMS = (
+GANGS, MEMBERS, RESERVED_CAPACITY = "gangs", "members", "rooms"
+SLOTS, AGENTS, QUEUE, TIMERS, RECONCILE_TIMES, TOTALS = (
     "gang-places",
     "gang-hands",
     "gang-queue",
@@ -64,19 +64,19 @@
     work_ms: int = 0  # as it confirmed with `epoch`
 
 
-class RoomRow(Row, frozen=True):
+class ReservedCapacityRow(Row, frozen=True):
     """By node: room that gangs hold or have reserved there."""
 
     taken: int
 
 
-class PlaceRow(Row, frozen=True):
+class SlotRow(Row, frozen=True):
     """By "node/gang/number": one member's room on a node; all of a node's together are its RoomRow."""
 
     room: int
 
 
-class HandRow(Row, frozen=True):
+class AgentRow(Row, frozen=True):
     """By node: the one session of its agent that may carry out orders, and the node's life it spoke for."""
 
     session: int  # 0: ended, at `ended_ms`; what it started may work for `seats.LET_GO_MS` more
@@ -90,7 +90,7 @@
     since_ms: int
 
 
-class DueRow(Row, frozen=True):
+class TimerRow(Row, frozen=True):
     """By "time/name": a gang to be looked at then; "time/@" is a round of placing, "time/@node" a hand
     that ended.
     """
@@ -98,7 +98,7 @@
     name: str
 
 
-class WakeRow(Row, frozen=True):
+class ReconcileTimeRow(Row, frozen=True):
     """By gang: its place in DUES. Not in its own row, which agents watch, and which a look alone leaves
     as it is.
     """
@@ -106,7 +106,7 @@
     at_ms: int
 
 
-class SumsRow(Row, frozen=True):
+class TotalsRow(Row, frozen=True):
     """Stands at key "all": what the whole fleet's gangs have measured, and when the next round is."""
 
     ran_ms: int = 0  # of members, summed
--- a/brookreach/simulation/carbon_aware/process_drill.py
+++ b/brookreach/simulation/carbon_aware/process_drill.py
@@ -21,7 +21,7 @@
 from brookreach.carbon_aware.tables import CURRENT, DRAFTS, HOLDS, OFFERS, RESERVED, SCHEDULES, SLOT_MS, version_key
 from brookreach.coordination.client.events import ReplyReceived
 from brookreach.coordination.protocol.tags import wire_name
-from brookreach.gang_scheduling.commands import Cancel, Submit
+from brookreach.gang_scheduling.commands import CancelGang, SubmitGang
 from brookreach.gang_scheduling.tables import GangRow
 from brookreach.simulation.carbon_aware.observer_invariants import Sent, Spans, Watch
 from brookreach.simulation.gang_scheduling import process_drill
@@ -39,7 +39,7 @@
 Meanwhile = Callable[[int], Awaitable[None]]
 
 
-class Play(process_drill.Play):
+class Play(process_drill.GangProcessDrill):
     def __init__(self, seed: int, nodes: int, folder: Path, children: Children, report: Report, kinds: Sequence[str]):
         super().__init__(seed, nodes, folder, children, report, kinds, "power", ("bob", "eye", *MARSHALS))
         town = self.town
@@ -50,10 +50,10 @@
         self.steers = [Operator(name, town.group, {}, seed, kind="marshal") for name in MARSHALS]
         self.last = self.agreed = 0  # versions: sent, acknowledged
 
-    def breaks(self) -> Mapping[str, Callable[[Any], Awaitable[None]]]:
+    def faults(self) -> Mapping[str, Callable[[Any], Awaitable[None]]]:
         return BREAKS
 
-    async def others(self, tasks: anyio.abc.TaskGroup) -> None:
+    async def run_background_work(self, tasks: anyio.abc.TaskGroup) -> None:
         for one in (self.eye, self.bob, *self.steers):
             tasks.start_soon(one.dial.run)
         for one in self.steers:
@@ -69,19 +69,19 @@
                 self.town.count("steered")
             await anyio.sleep(STEER_S)
 
-    def order(self, kind: str, name: str) -> Submit:
+    def submission(self, kind: str, name: str) -> SubmitGang:
         """Flexible both; one has no time to wait for cleaner power, so that there is always one that runs."""
         soon = self.mirror.at_ms + SOON_MS if kind == "g" else 0
-        return msgspec.structs.replace(super().order(kind, name), flexible=True, deadline_ms=soon)
+        return msgspec.structs.replace(super().submission(kind, name), flexible=True, deadline_ms=soon)
 
     def may_wait(self, row: GangRow) -> bool:
         return row.state == "waiting" and "for cleaner power" in row.reason
 
-    async def rest(self) -> None:
+    async def before_gangs_end(self) -> None:
         """A gang that waits for another slot would for up to a quarter of an hour."""
         for name, row in self.gangs().items():
             if self.may_wait(row):
-                answer = await self.ann.ask("gangs", Cancel(name, "the drill ends"))
+                answer = await self.ann.ask("gangs", CancelGang(name, "the drill ends"))
                 if answer is not None and answer.ok:
                     self.town.count("gangs cancelled as they waited for cleaner power")
                     self.cancelled.add(name)
@@ -214,11 +214,11 @@
     def _held(self) -> list[str]:
         return [name for name, _ in self.eye.client.mirror.rows(HOLDS) if name.startswith("gang:")]
 
-    async def settled(self) -> None:
+    async def after_gangs_end(self) -> None:
         """The watcher's copy follows the end of a gang by one change, late on a busy machine."""
         await self.town.until(lambda: not self._held(), "what ended holds no room", why=lambda: f"{self._held()}")
 
-    def found(self) -> None:
+    def check_outcome(self) -> None:
         self.town.look(
             "no acknowledged version lost",
             self.watch.version >= self.agreed,
--- a/brookreach/simulation/gang_scheduling/ground_truth.py
+++ b/brookreach/simulation/gang_scheduling/ground_truth.py
@@ -14,10 +14,10 @@
 from brookreach.disruption.tables import PERMITS, PermitRow
 from brookreach.gang_scheduling.tables import GangRow
 
-DRIFT = 0.01  # between any two clocks, as a share
+CLOCK_DRIFT = 0.01  # between any two clocks, as a share
 
 
-class Budget:
+class PermitBudget:
     """Permits by one number of moves at once, most urgent first, then oldest: the least that outages
     promise.
     """
@@ -49,7 +49,7 @@
 
 
 @dataclass
-class Life:
+class IncarnationRecord:
     """One incarnation as it truly lived."""
 
     gang: str
@@ -64,10 +64,10 @@
 
 
 @dataclass
-class Truth:
+class GroundTruth:
     """What checkers read."""
 
-    lives: list[Life] = field(default_factory=list)
+    lives: list[IncarnationRecord] = field(default_factory=list)
     kept: dict[tuple[str, int], dict[int, int]] = field(default_factory=dict)  # gang, epoch: work by member
     permits: list[tuple[str, str, float, float]] = field(default_factory=list)  # gang, node, from, to
     sessions_ended: list[tuple[str, float]] = field(default_factory=list)
