--- a/brookreach/charts.py
+++ b/brookreach/charts.py
@@ -81,4 +81,3 @@
         self.level = max(0.0, self.level + size)
         if self.level == 0.0:
             self.added.clear()
-
--- a/brookreach/decide.py
+++ b/brookreach/decide.py
@@ -11,10 +11,24 @@
 
 from brookreach.charts import BEAT_MS
 from brookreach.desk import BEAT, Desk
-from brookreach.interface import (Action, DeadlineShortened, Ending, Event, NodeList, PickEnded, RolloutNews,
-    RpcGone, RpcTaken, SetTimer, Start, Tally, TimerRang)
+from brookreach.interface import (
+    Action,
+    DeadlineShortened,
+    Ending,
+    Event,
+    NodeList,
+    PickEnded,
+    RolloutNews,
+    RpcGone,
+    RpcTaken,
+    SetTimer,
+    Start,
+    Tally,
+    TimerRang,
+)
 from brookreach.judge import Judge
-from brookreach.parts import Due, Ring as Ring  # read here by others, as is the next
+from brookreach.parts import Due  # read here by others, as is the next
+from brookreach.parts import Ring as Ring
 from brookreach.roster import COLD_PART as COLD_PART
 
 NOTES = {RpcTaken: "taken_in", DeadlineShortened: "shortened", RpcGone: "gone", PickEnded: "ended", NodeList: "listing"}
--- a/brookreach/desk.py
+++ b/brookreach/desk.py
@@ -3,8 +3,22 @@
 import math
 
 from brookreach.charts import BEAT_MS, FLOOR, on_trial, warmth
-from brookreach.interface import (Abort, Action, DeadlineShortened, Ending, Group, NodeEntry, Pick, PickEnded,
-    PushBack, Repeat, RpcGone, RpcTaken, SetTimer, Start)
+from brookreach.interface import (
+    Abort,
+    Action,
+    DeadlineShortened,
+    Ending,
+    Group,
+    NodeEntry,
+    Pick,
+    PickEnded,
+    PushBack,
+    Repeat,
+    RpcGone,
+    RpcTaken,
+    SetTimer,
+    Start,
+)
 from brookreach.judge import Judge
 from brookreach.parts import Due, Ring, Rpc
 from brookreach.roster import CARRIED_MS, ERRING, SILENT, Roster, may_go, may_have_run, window_ms
@@ -63,11 +77,20 @@
         self.survey(now)
         sides = self.sides(now, rpc)
         if most == FEW and sides:
-            sides = self.chance.choices(sides, weights=[
-                side.sums[-1] * math.exp(-self.drags.get(self.side(side.entries[0].build), 0.0)) for side, _ in sides])
+            sides = self.chance.choices(
+                sides,
+                weights=[
+                    side.sums[-1] * math.exp(-self.drags.get(self.side(side.entries[0].build), 0.0))
+                    for side, _ in sides
+                ],
+            )
         near = self.drags.get(NEAR, 0.0) - self.drags.get(FAR, 0.0) <= 8.0 * self.prices.cross_zone
-        few = dict.fromkeys(entry.node for both in sides for side in (both if near else 2 * both[:1])
-                            for entry in side.draw(self.chance, most))
+        few = dict.fromkeys(
+            entry.node
+            for both in sides
+            for side in (both if near else 2 * both[:1])
+            for entry in side.draw(self.chance, most)
+        )
         rpc.bids, rpc.asked, rpc.drawn = [], len(few), most
         typical, cost = self.typical(rpc), rpc.cost or self.usual_ms[rpc.method]
         for number in few:
@@ -83,12 +106,15 @@
 
     def chosen(self, now: float, rpc: Rpc) -> None:
         """The shortest wait; sick ones where all are. Where half of the trial nodes err they keep picks."""
-        well = [b for b in rpc.bids if b[1] < (
-            SILENT if self.suspect and on_trial(self.news, b[0].build) and not self.few else ERRING)]
+        well = [
+            b
+            for b in rpc.bids
+            if b[1] < (SILENT if self.suspect and on_trial(self.news, b[0].build) and not self.few else ERRING)
+        ]
         if not well and rpc.drawn == FEW and self.field:
             self.tell("ask", now, rpc, MORE)
         elif rpc.bids:
-            far, some = 1.0 + 8.0 * self.prices.cross_zone, (well or rpc.bids)[:2 * FEW]
+            far, some = 1.0 + 8.0 * self.prices.cross_zone, (well or rpc.bids)[: 2 * FEW]
             self.send(now, rpc, min(some, key=lambda b: b[2] * (1.0 if b[0].zone == self.place.zone else far))[0])
         elif not rpc.pending():
             self.hold(now, rpc)
@@ -163,20 +189,32 @@
             drag = 0.07 * math.log(max(1.0, event.took_ms / typical))
             for key in (self.side(entry.build), NEAR if entry.zone == self.place.zone else FAR):
                 self.drags[key] = 0.93 * self.drags.get(key, 0.0) + drag
-        self.judge.tell("outcome", now, entry, rpc.method, pick[1], event.ending, event.took_ms,
-                        rpc.cost or 1.0, self.flow.total(now))
+        self.judge.tell(
+            "outcome",
+            now,
+            entry,
+            rpc.method,
+            pick[1],
+            event.ending,
+            event.took_ms,
+            rpc.cost or 1.0,
+            self.flow.total(now),
+        )
         if event.final or rpc.done:
             self.finish(rpc)
         elif not rpc.pending():
-            again = now < rpc.end - 10.0 and len(rpc.picks) < self.permits.max_picks and may_go(
-                rpc, entry, now, self.permits.second_copies)
+            again = (
+                now < rpc.end - 10.0
+                and len(rpc.picks) < self.permits.max_picks
+                and may_go(rpc, entry, now, self.permits.second_copies)
+            )
             self.tell("ask" if again else "give_up", now, rpc)
 
     def beat(self, now: float, *_: int) -> None:
         self.judge.tell("decide", now)
         self.acts.append(SetTimer(BEAT_MS, BEAT))
         most = sorted(self.nodes.values(), key=lambda node: node.failed / (node.tried + 1.0))
-        most = most[:math.ceil(0.75 * len(most))]  # the few that are sick don't say what is usual
+        most = most[: math.ceil(0.75 * len(most))]  # the few that are sick don't say what is usual
         trial = [n for n in self.nodes.values() if on_trial(self.news, n.entry.build)]
         self.suspect = 2 * sum([n.shy_ms > 0.0 and n.ails == ERRING for n in trial]) >= len(trial)
         self.usual = max(FLOOR, sum([n.failed for n in most]) / (sum([n.tried for n in most]) + 1.0))
--- a/brookreach/roster.py
+++ b/brookreach/roster.py
@@ -9,8 +9,20 @@
 
 from brookreach.charts import BACKWARDS, BEAT_MS, NEVER_RAN, failure_step, on_trial, sees_few, warmth
 from brookreach.interface import (
-    Action, Ending, Group, Guards, ListKind, LogLine, NodeEntry, NodeList, NodeState, PickEnded, Repeat,
-    RolloutNews, Start)
+    Action,
+    Ending,
+    Group,
+    Guards,
+    ListKind,
+    LogLine,
+    NodeEntry,
+    NodeList,
+    NodeState,
+    PickEnded,
+    Repeat,
+    RolloutNews,
+    Start,
+)
 from brookreach.judge import Judge
 from brookreach.parts import Due, Part, Ring, Rpc, Side
 
@@ -34,8 +46,13 @@
     ran, group = may_have_run(rpc), rpc.facts.group
     if ran and (rpc.facts.repeat == Repeat.NON_IDEMPOTENT or (rpc.pending() and not copies)):
         return False
-    return rpc.facts.repeat == Repeat.IDEMPOTENT or (window_ms(rpc, now) > 0.0 and all(group == Group.ALL or (
-        entry.zone == old.zone and (group == Group.ZONE or entry.cell == old.cell)) for old, _, _ in ran))
+    return rpc.facts.repeat == Repeat.IDEMPOTENT or (
+        window_ms(rpc, now) > 0.0
+        and all(
+            group == Group.ALL or (entry.zone == old.zone and (group == Group.ZONE or entry.cell == old.cell))
+            for old, _, _ in ran
+        )
+    )
 
 
 class Node(Part):
@@ -82,8 +99,9 @@
         self.sent.append(now)
         self.room -= cost * max(1.0, self.slow)
 
-    def ended(self, now: float, event: PickEnded, at: NodeEntry, sent: float, typical: float, long: float,
-              usual: float) -> None:
+    def ended(
+        self, now: float, event: PickEnded, at: NodeEntry, sent: float, typical: float, long: float, usual: float
+    ) -> None:
         entry, ending, slow = self.entry, event.ending, event.took_ms > long
         self.sent.remove(sent)
         if (at.started_ms, at.build) != (entry.started_ms, entry.build):
@@ -167,11 +185,12 @@
         self.survey_at = math.inf if len(warm) == len(ready) else now + BEAT_MS
         self.warm_size = sum([one.size for one in warm])
         for entry in well:
-            able.setdefault(self.side(entry.build), []).append(
-                (entry, warmth(entry, now, self.guards) * entry.size))
+            able.setdefault(self.side(entry.build), []).append((entry, warmth(entry, now, self.guards) * entry.size))
         here = self.place.zone if self.prices.cross_zone else None
-        self.field = {build: (Side(some), Side([one for one in some if one[0].zone == here]))
-                      for build, some in sorted(able.items())}
+        self.field = {
+            build: (Side(some), Side([one for one in some if one[0].zone == here]))
+            for build, some in sorted(able.items())
+        }
 
     def sides(self, now: float, rpc: Rpc) -> list[tuple[Side, Side]]:
         """What the rules leave to this RPC; further picks go to the earlier build while they can."""
@@ -180,8 +199,10 @@
         if not rpc.picks and not floor:
             return sides
         copies, tried = self.permits.second_copies, {pick[0].node for pick in rpc.picks}
-        fit = [[e for e in side.entries if e.build >= floor and e.node not in tried
-                and may_go(rpc, e, now, copies)] for side, _ in sides]
+        fit = [
+            [e for e in side.entries if e.build >= floor and e.node not in tried and may_go(rpc, e, now, copies)]
+            for side, _ in sides
+        ]
         narrow = [Side([(e, e.size * warmth(e, now, self.guards)) for e in side]) for side in fit if side]
         return [(side, Side([])) for side in (narrow[:1] if rpc.picks else narrow)]
 
