--- a/brookreach/gang_scheduling/agent/actions.py
+++ b/brookreach/gang_scheduling/agent/actions.py
@@ -1,44 +1,54 @@
-"""What an agent tells its node to do, answers to orders, and keeps of one incarnation. It decides nothing."""
+"""What an agent tells its node to do. Times are of the node's own monotonic clock, in ms."""
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
-from typing import Literal
+from dataclasses import dataclass
 
-MemberSlot = tuple[str, int]  # gang and member
+from brookreach.gang_scheduling.member_key import MemberKey
 
 
 @dataclass(frozen=True, slots=True)
-class NodeAction:
-    """On the node. `run` and `grant` carry the moment of its clock past which nothing may work."""
+class StartMember:
+    """Start an incarnation and restore it from `epoch`; nothing of it may work past `grant_until_ms`."""
 
-    what: Literal["run", "go", "save", "kill", "grant"]
-    slot: MemberSlot = ("", 0)
-    fence: int = 0
-    epoch: int = 0
-    until: float = 0.0
+    key: MemberKey
+    fencing_token: int
+    epoch: int
+    grant_until_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class TaskReply:
-    """To one token. The final one is kept; whoever asks again gets the same."""
+class RunMember:
+    """Begin to work, or go on with it; `epoch` is the last checkpoint requested."""
 
-    token: str
-    ok: bool
-    text: str
-    final: bool = True
+    key: MemberKey
+    fencing_token: int
+    epoch: int
 
 
-@dataclass(slots=True)
-class MemberProcess:
-    """One incarnation on the node."""
+@dataclass(frozen=True, slots=True)
+class SaveCheckpoint:
+    """Pause and save the work as `epoch`."""
+
+    key: MemberKey
+    fencing_token: int
+    epoch: int
+
+
+@dataclass(frozen=True, slots=True)
+class KillMember:
+    """End an incarnation."""
+
+    key: MemberKey
+    fencing_token: int
+
+
+@dataclass(frozen=True, slots=True)
+class ExtendGrants:
+    """All incarnations of this process may work up to this moment."""
+
+    grant_until_ms: float
 
-    fence: int
-    state: Literal["loading", "ready", "working", "saving", "saved", "dying"]
-    epoch: int  # the newest that it was asked to keep, or told is over
-    waiting: list[str] = field(default_factory=list)  # tokens to be answered when this step ends
-    work_ms: int = 0  # in the epoch that it kept last
 
-    def wait(self, token: str) -> None:
-        if token not in self.waiting:
-            self.waiting.append(token)
+NodeAction = StartMember | RunMember | SaveCheckpoint | KillMember | ExtendGrants
+MemberAction = StartMember | RunMember | SaveCheckpoint | KillMember
--- a/brookreach/gang_scheduling/agent/process.py
+++ b/brookreach/gang_scheduling/agent/process.py
@@ -1,21 +1,15 @@
 """A stand-in for nodes' agents that also plays the work of gangs' members, for trials and drills.
 
-It owns a file for its node: one JSON line for each thing that began or ended there, on the disk before
-anybody is told of it. `at` and `until` are the machine's monotonic clock in ms, the same for all nodes of one
-machine. No member works past its grant, and none of an earlier process by this name works when this one
-begins: what it plays ends with its process. What it says to the group and when is `gangs.agent`'s.
+It connects a node's agent with its client of the replicas and with the work that is played on the node. What it says to
+the replicas and when is decided in `agent`.
 """
 
 from __future__ import annotations
 
 import contextlib
-import heapq
-import json
-import os
-from collections.abc import Callable
-from dataclasses import dataclass, replace
+from collections.abc import Sequence
+from dataclasses import replace
 from pathlib import Path
-from typing import Any
 
 import anyio
 
@@ -34,193 +28,146 @@
 from brookreach.coordination.protocol.tags import wire_name
 from brookreach.coordination.state_machine.application import Command
 from brookreach.disruption.node_agent import Agent, Facts, Say
-from brookreach.gang_scheduling.agent import agent as hands
-from brookreach.gang_scheduling.agent.actions import MemberSlot, NodeAction
+from brookreach.gang_scheduling.agent.agent import GangAgent
+from brookreach.gang_scheduling.agent.node_log import NodeLog
+from brookreach.gang_scheduling.agent.work_player import WorkPlayer
 from brookreach.gang_scheduling.agent_tasks import tasks_for_node
 from brookreach.gang_scheduling.application import APPLICATION
 from brookreach.gang_scheduling.commands import RegisterAgent
 from brookreach.gang_scheduling.tables import AGENTS, GANGS, MEMBERS, SLOTS, GangRow
 
-WATCHED = (GANGS, AGENTS, MEMBERS, SLOTS)
-TICK_MS, AGAIN_MS, QUIET = 10.0, 500.0, 1.25  # between looks; between orders that still stand; of a lease
-
-
-@dataclass(slots=True)
-class Work:
-    """One incarnation. `kept`: work that it goes on from; `since`: working since then."""
-
-    slot: MemberSlot
-    fence: int
-    epoch: int
-    until: float
-    kept: float
-    since: float | None = None
-
-    def done(self, now: float) -> float:
-        return self.kept + (0.0 if self.since is None else min(now, self.until) - self.since)
+WATCHED_TABLES = (GANGS, AGENTS, MEMBERS, SLOTS)
+TICK_S = 0.01
+REPEAT_INTERVAL_MS = 500.0  # between registrations, and between readings of tasks that still stand
+QUIET_LEASES = 1.25  # after the process's start, before it registers
 
 
 class GangAgentProcess(Agent):
-    def __init__(self, facts: Facts, told: configuration.ClusterConfiguration, key: bytes, say: Say, path: Path):
-        super().__init__(facts, told, key, None, say, {name: APPLICATION.tables[name] for name in WATCHED})
-        now = now_ms()
-        self.hands = hands.GangAgent(facts.name, self.life, now, told.timing.lease_ms * QUIET)
-        self.works: dict[MemberSlot, Work] = {}
-        self.later: list[tuple[float, int, Callable[[], None]]] = []
-        self.asked: dict[int, Command] = {}
-        self.count, self.here_at, self.again_at = 0, 0.0, 0.0
-        self.here = 0  # the session that has said so
-        self.file = os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o644)
+    """A node's agent that also carries out the tasks of gang scheduling."""
+
+    def __init__(
+        self, facts: Facts, settings: configuration.ClusterConfiguration, key: bytes, say: Say, log: NodeLog
+    ) -> None:
+        """Starts without a session.
+
+        Args:
+            facts: Of the node.
+            settings: Of the replicas.
+            key: By which frames are sealed.
+            say: Writes a log line.
+            log: The node's, where the work that is played leaves its lines.
+        """
+        tables = {name: APPLICATION.tables[name] for name in WATCHED_TABLES}
+        super().__init__(facts, settings, key, None, say, tables)
+        quiet_ms = settings.timing.lease_ms * QUIET_LEASES
+        self._agent = GangAgent(facts.name, self.life, now_ms(), quiet_ms)
+        self._player = WorkPlayer(self._agent, log, self._find_gang)
+        self._proposed: dict[int, Command] = {}  # by sequence number, until they are answered
+        self._registered_session = 0
+        self._register_ms = 0.0
+        self._read_tasks_ms = 0.0
 
     async def run(self) -> None:
+        """Runs until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(super().run)
             while True:
-                await anyio.sleep(TICK_MS / 1000.0)
+                await anyio.sleep(TICK_S)
                 self.tick()
 
     def tick(self) -> None:
-        now = now_ms()
-        for work in list(self.works.values()):
-            if now >= work.until:
-                self._end(work, "grant ended")
-        self.hands.passed(now)
+        """Does what the clock says is due."""
+        at_ms = now_ms()
+        self._player.end_expired(at_ms)
+        self._agent.check_lease(at_ms)
         self._flush()
-        while self.later and self.later[0][0] <= now:
-            heapq.heappop(self.later)[2]()
+        while self._player.run_next_due(at_ms):
             self._flush()
-        if self.client.session and self.client.session != self.here and now >= self.here_at:
-            self._here(now)
-        if now >= self.again_at:
-            self._errands()
+        session = self.client.session
+        if session and session != self._registered_session and at_ms >= self._register_ms:
+            self._register(at_ms)
+        if at_ms >= self._read_tasks_ms:
+            self._read_tasks()
 
-    def _here(self, now: float) -> None:
-        if self.hands.may_speak(now) and self.hands.session == self.client.session:
-            self.here_at = now + AGAIN_MS
-            self._ask(self.hands.here())
+    def _register(self, at_ms: float) -> None:
+        if self._agent.may_register(at_ms) and self._agent.session == self.client.session:
+            self._register_ms = at_ms + REPEAT_INTERVAL_MS
+            self._propose(self._agent.registration())
 
-    # --- what the group says ---
+    # --- what the replicas say ---
 
     def hear(self, event: ClientEvent) -> None:
-        now = now_ms()
-        if isinstance(event, ReplyReceived | OutcomeUnknown) and event.seq in self.asked:
-            order = self.asked.pop(event.seq)
-            if isinstance(event, ReplyReceived) and event.ok and isinstance(order, RegisterAgent):
-                self.here = self.client.session
-            elif isinstance(event, ReplyReceived) and not event.ok:
-                self.say(f"{self.facts.name} {wire_name(order)}, refused: {event.text}")
+        """Takes an event of the client."""
+        if isinstance(event, ReplyReceived | OutcomeUnknown) and event.seq in self._proposed:
+            self._on_outcome(event)
             return
         super().hear(event)
-        if isinstance(event, LeaseRenewed):
-            self.hands.lease(now, event.session, event.until_ms)
-        elif isinstance(event, SessionLost):
-            self.here = 0
-            self.hands.ended(now)
-        elif isinstance(event, RowsChanged):
-            self._errands()
+        match event:
+            case LeaseRenewed():
+                self._agent.on_lease_renewed(now_ms(), event.session, event.until_ms)
+            case SessionLost():
+                self._registered_session = 0
+                self._agent.on_session_ended()
+            case RowsChanged():
+                self._read_tasks()
         self._flush()
 
-    def _errands(self) -> None:
-        now = now_ms()
-        self.again_at = now + AGAIN_MS
-        for errand in tasks_for_node(self.client.mirror, self.facts.name):
-            self.hands.hear(now, errand)
+    def _on_outcome(self, event: ReplyReceived | OutcomeUnknown) -> None:
+        command = self._proposed.pop(event.seq)
+        if isinstance(event, OutcomeUnknown):
+            return
+        if event.ok and isinstance(command, RegisterAgent):
+            self._registered_session = self.client.session
+        elif not event.ok:
+            self.say(f"{self.facts.name} {wire_name(command)}, refused: {event.text}")
+
+    def _read_tasks(self) -> None:
+        at_ms = now_ms()
+        self._read_tasks_ms = at_ms + REPEAT_INTERVAL_MS
+        for task in tasks_for_node(self.client.mirror, self.facts.name):
+            self._agent.handle_task(at_ms, task)
         self._flush()
 
     def _flush(self) -> None:
-        acts, self.hands.acts = self.hands.acts, []
-        for act in acts:
-            self._do(act)
-        reports, self.hands.reports = self.hands.reports, []
-        self.hands.answers.clear()
-        for order in reports:
-            self._ask(order)
-
-    def _ask(self, order: Command) -> None:
-        """Refused, lost or late: the rows still name what it is about, so it is said again."""
+        """Carries out and proposes what the agent has decided; replies go nowhere, as tasks are read from rows."""
+        for action in self._agent.outputs.take_actions():
+            self._player.carry_out(action)
+        reports = self._agent.outputs.take_reports()
+        self._agent.outputs.replies.take()
+        for report in reports:
+            self._propose(report)
+
+    def _propose(self, command: Command) -> None:
+        """Proposes a command; where it is refused, lost or late, the rows still name what it is about."""
         if self.client.session:
             with contextlib.suppress(TooManyRequestsError, SessionNotHeldError):
-                self.asked[self.client.ask(now_ms(), APPLICATION.name, order)] = order
+                self._proposed[self.client.ask(now_ms(), APPLICATION.name, command)] = command
             self.dial.stir()
 
-    # --- the node ---
-
-    def _do(self, act: NodeAction) -> None:
-        now = now_ms()
-        if act.what == "grant":
-            for work in self.works.values():
-                if act.until > work.until > now:
-                    work.until = act.until
-                    self._write("grant", work)
-            return
-        if act.what == "run":
-            self._run(act)
-            return
-        found = self.works.get(act.slot)
-        if found is None or found.fence != act.fence:
-            return
-        found.kept, found.since = found.done(now), None
-        if act.what == "kill":
-            self._end(found, "killed")
-        elif act.what == "go":
-            found.since = now
-            self._write("go", found)
-        else:
-            self._after(self._row(act.slot).cost_ms, lambda: self._saved(found, act.epoch))
-
-    def _run(self, act: NodeAction) -> None:
-        row = self._row(act.slot)
-        work = self.works[act.slot] = Work(act.slot, act.fence, act.epoch, act.until, float(row.kept_ms))
-        self._write("start", work)
-        self._after(row.load_ms, lambda: self._loaded(work))
-
-    def _row(self, slot: MemberSlot) -> GangRow:
-        row: GangRow = self.client.mirror.get(GANGS, slot[0])
+    def _find_gang(self, name: str) -> GangRow | None:
+        row: GangRow | None = self.client.mirror.get(GANGS, name)
         return row
 
-    def _loaded(self, work: Work) -> None:
-        if self.works.get(work.slot) is work:
-            self.hands.loaded(now_ms(), work.slot, work.fence)
-
-    def _saved(self, work: Work, epoch: int) -> None:
-        if self.works.get(work.slot) is work and work.since is None:
-            row: GangRow | None = self.client.mirror.get(GANGS, work.slot[0])
-            most = row.work_ms if row is not None else int(work.kept)
-            work.epoch = epoch
-            self._write("saved", work)
-            self.hands.saved(now_ms(), work.slot, work.fence, epoch, min(int(work.kept), most))
-
-    def _end(self, work: Work, why: str) -> None:
-        if self.works.get(work.slot) is work:
-            del self.works[work.slot]
-            self._write("stop", work, why=why)
-            self._after(0.0, lambda: self.hands.gone(now_ms(), work.slot, work.fence, why))
-
-    def _after(self, wait_ms: float, then: Callable[[], None]) -> None:
-        self.count += 1
-        heapq.heappush(self.later, (now_ms() + wait_ms, self.count, then))
-
-    def _write(self, what: str, work: Work, **more: Any) -> None:
-        told = {
-            "what": what,
-            "at": now_ms(),
-            "gang": work.slot[0],
-            "member": work.slot[1],
-            "fence": work.fence,
-            "epoch": work.epoch,
-            "until": work.until,
-            **more,
-        }
-        os.write(self.file, (json.dumps(told) + "\n").encode())
-        os.fsync(self.file)
-
-
-async def run_agents(path: Path, nodes: list[Facts], room: int, folder: Path, say: Say) -> None:
-    """Agents of these nodes, each with `room` and its file NODE.jsonl in `folder`, until cancelled."""
-    told = configuration.read(path)
-    key = configuration.read_key(path, told)
+
+async def run_agents(path: Path, nodes: Sequence[Facts], capacity: int, folder: Path, say: Say) -> None:
+    """Runs the agents of nodes until cancelled.
+
+    Args:
+        path: The configuration of the replicas.
+        nodes: The nodes.
+        capacity: Of each, for gangs' members.
+        folder: For each node's log, NODE.jsonl.
+        say: Writes a log line.
+
+    Raises:
+        BadFile: if the configuration can't be read.
+    """
+    settings = configuration.read(path)
+    key = configuration.read_key(path, settings)
     folder.mkdir(parents=True, exist_ok=True)
-    async with anyio.create_task_group() as tasks:
-        for facts in nodes:
-            file = folder / f"{facts.name}.jsonl"
-            tasks.start_soon(GangAgentProcess(replace(facts, room=room), told, key, say, file).run)
+    with contextlib.ExitStack() as logs:
+        async with anyio.create_task_group() as tasks:
+            for facts in nodes:
+                log = logs.enter_context(NodeLog(folder / f"{facts.name}.jsonl"))
+                process = GangAgentProcess(replace(facts, room=capacity), settings, key, say, log)
+                tasks.start_soon(process.run)
--- a/brookreach/gang_scheduling/agent_tasks.py
+++ b/brookreach/gang_scheduling/agent_tasks.py
@@ -1,71 +1,93 @@
-"""What a node's agent is to do now, derived from the agreed rows alone: orders with tokens, in a stated
-order.
+"""What a node's agent is to do now, derived from the agreed rows alone, in a stated order.
 
-Whoever carries them (the agent's own mirror, or a marshal's RPCs by token) may do so late, twice or in any
-order: an order names its fence, the epoch and the agent's session, and one whose time is over has no
-effect. It must never name anything that the rows do not.
+Whoever carries tasks (the agent's own cache, or RPCs by token) may do so late, twice or in any order: a task names its
+fencing token, the epoch and the agent's session, and one whose time is over has no effect. It must never name anything
+that the rows do not.
 """
 
 from __future__ import annotations
 
-from typing import Literal
+from enum import StrEnum
 
 import msgspec
 
 from brookreach.coordination.state_machine.application import View
 from brookreach.gang_scheduling import members
-from brookreach.gang_scheduling.tables import AGENTS, GANGS, MEMBERS, SLOTS, GangRow, MemberRow
+from brookreach.gang_scheduling.gang_state import GangState, MemberState
+from brookreach.gang_scheduling.tables import AGENTS, GANGS, MEMBERS, SLOTS, AgentRow, GangRow, MemberRow
 
-TaskKind = Literal["start", "go", "save", "stop"]
+
+class TaskKind(StrEnum):
+    """What an agent does with one member."""
+
+    START = "start"
+    RUN = "go"  # begin to work, or go on
+    CHECKPOINT = "save"
+    STOP = "stop"
 
 
 class AgentTask(msgspec.Struct, frozen=True, forbid_unknown_fields=True, array_like=True):
-    """One order to a node. `epoch`: to start from, to keep, or the last asked for when work goes on."""
+    """One task of a node's agent."""
 
     kind: TaskKind
     gang: str
     member: int
-    fence: int
-    epoch: int
+    fencing_token: int
+    epoch: int  # to start from, to save, or the last requested when work goes on
     session: int
-    life: int
-    order: int  # the plan by which work goes on
+    node_incarnation: int
+    plan_index: int  # of the plan by which work goes on
 
     @property
     def token(self) -> str:
-        """The same for the same order, however often it comes."""
-        return f"{self.kind}.{self.gang}.{self.member}.{self.fence}.{self.epoch}.{self.order}.{self.session}"
+        """The same for the same task, however often it comes."""
+        return (
+            f"{self.kind}.{self.gang}.{self.member}.{self.fencing_token}.{self.epoch}.{self.plan_index}.{self.session}"
+        )
 
 
 def tasks_for_node(view: View, node: str) -> list[AgentTask]:
-    """All that stands open or may have been missed on this node."""
-    hand = view.get(AGENTS, node)
-    if hand is None or not hand.session:
+    """Returns all that stands open or may have been missed on this node."""
+    agent: AgentRow | None = view.get(AGENTS, node)
+    if agent is None or not agent.session:
         return []
-    found = []
+    tasks = []
     for key, _ in view.rows(SLOTS, f"{node}/"):
-        _, gang, number = key.split("/")
-        row: GangRow | None = view.get(GANGS, gang)
-        member: MemberRow | None = view.get(MEMBERS, f"{gang}/{number}")
-        if row is None or member is None:
+        _, name, number = key.split("/")
+        gang: GangRow | None = view.get(GANGS, name)
+        member: MemberRow | None = view.get(MEMBERS, f"{name}/{number}")
+        if gang is None or member is None:
+            continue
+        incarnation = members.active_incarnation(member)
+        if incarnation is None or incarnation.node != node:
             continue
-        told = _of(row, member, node)
-        if told is not None:
-            kind, fence, epoch = told
-            found.append(AgentTask(kind, gang, int(number), fence, epoch, hand.session, hand.life, row.order))
-    return found
-
-
-def _of(row: GangRow, member: MemberRow, node: str) -> tuple[TaskKind, int, int] | None:
-    spot = members.active_incarnation(member)
-    if spot is None or spot.node != node:
-        return None
-    if member.state == "fencing":
-        return "stop", spot.fence, row.epoch
-    if member.state == "starting":
-        return "start", spot.fence, row.epoch
-    if row.state == "running":
-        return "go", spot.fence, row.asked_epoch
-    if row.state == "checkpointing":
-        return "save", spot.fence, row.asked_epoch
+        kind = _task_kind(gang, member)
+        if kind is None:
+            continue
+        is_running = kind in (TaskKind.RUN, TaskKind.CHECKPOINT)
+        tasks.append(
+            AgentTask(
+                kind,
+                name,
+                int(number),
+                incarnation.fencing_token,
+                gang.requested_epoch if is_running else gang.epoch,
+                agent.session,
+                agent.node_incarnation,
+                gang.plan_index,
+            )
+        )
+    return tasks
+
+
+def _task_kind(gang: GangRow, member: MemberRow) -> TaskKind | None:
+    """Returns what the agent is to do with an incarnation that may live; None: nothing."""
+    if member.state == MemberState.FENCING:
+        return TaskKind.STOP
+    if member.state == MemberState.STARTING:
+        return TaskKind.START
+    if gang.state == GangState.RUNNING:
+        return TaskKind.RUN
+    if gang.state == GangState.CHECKPOINTING:
+        return TaskKind.CHECKPOINT
     return None
--- a/brookreach/gang_scheduling/application.py
+++ b/brookreach/gang_scheduling/application.py
@@ -1,29 +1,36 @@
-"""PIECE: gangs as the ground knows a piece. Each record is checked, taken as fact, and its gang looked at.
+"""APPLICATION: gang scheduling as an application of the replicated state machine.
 
-It owns the words to clients and nothing else: what becomes of a gang is decided in `look` and below. It must
-never take an agent's word for a node that is not its own, nor for a session that is not the registered one.
+Each record is checked, taken as fact, and the gangs that it touches are reconciled. What becomes of a gang is decided
+in `reconcile` and below.
 """
 
 from __future__ import annotations
 
-from collections.abc import Mapping
+from collections.abc import Iterable, Mapping
 from typing import Any
 
-from msgspec.structs import replace
-
-from brookreach.coordination.state_machine.application import CommandRejectedError, Context, Row, RowUpdate, View
-from brookreach.disruption.internal_tables import first, ordered
-from brookreach.gang_scheduling import carbon_placement, checkpoint_interval, checkpoints, members, transitions
-from brookreach.gang_scheduling import commands as orders
-from brookreach.gang_scheduling import tables as rows
+from brookreach.coordination.state_machine.application import Context, Row, RowUpdate, View
+from brookreach.gang_scheduling import (
+    agent_reports,
+    carbon_placement,
+    checkpoints,
+    operator_commands,
+    recovery,
+    tables,
+    timers,
+)
+from brookreach.gang_scheduling import commands as gang_commands
+from brookreach.gang_scheduling.departures import departure_ms
 from brookreach.gang_scheduling.disruption_permits import DisruptionPermits, PermitProvider
-from brookreach.gang_scheduling.migration import departure_ms
-from brookreach.gang_scheduling.placement import ever
-from brookreach.gang_scheduling.queue import Prefer, place_waiting
+from brookreach.gang_scheduling.gang_state import FINAL_STATES
+from brookreach.gang_scheduling.queue import PreferPlacement, place_waiting
 from brookreach.gang_scheduling.reconcile import reconcile
-from brookreach.gang_scheduling.transaction import PLACEMENT_ROUND, Transaction, timer_key
+from brookreach.gang_scheduling.timers import AgentReleaseDue, GangDue, RoundDue
+from brookreach.gang_scheduling.totals import read_totals
+from brookreach.gang_scheduling.transaction import Transaction
 
-NEAR_MS = 60_000
+URGENT_DEPARTURE_MS = 60_000  # a node that leaves sooner has its gangs reconciled at once
+SECOND_MS = 1000
 
 
 class GangSchedulingApplication:
@@ -31,239 +38,128 @@
 
     name = "gangs"
     version = 1
-    orders: Any = orders.Commands
+    orders: Any = gang_commands.Commands  # a union of types, as the codec takes it
     tables: Mapping[str, type[Row]] = {
-        rows.GANGS: rows.GangRow,
-        rows.MEMBERS: rows.MemberRow,
-        rows.RESERVED_CAPACITY: rows.ReservedCapacityRow,
-        rows.SLOTS: rows.SlotRow,
-        rows.AGENTS: rows.AgentRow,
-        rows.QUEUE: rows.QueueRow,
-        rows.TIMERS: rows.TimerRow,
-        rows.RECONCILE_TIMES: rows.ReconcileTimeRow,
-        rows.TOTALS: rows.TotalsRow,
+        tables.GANGS: tables.GangRow,
+        tables.MEMBERS: tables.MemberRow,
+        tables.RESERVED_CAPACITY: tables.ReservedCapacityRow,
+        tables.SLOTS: tables.SlotRow,
+        tables.AGENTS: tables.AgentRow,
+        tables.QUEUE: tables.QueueRow,
+        tables.TIMERS: tables.TimerRow,
+        tables.RECONCILE_TIMES: tables.ReconcileTimeRow,
+        tables.TOTALS: tables.TotalsRow,
     }
 
-    def __init__(self, permits: PermitProvider, prefer: Prefer | None = None):
-        self.permits, self.prefer = permits, prefer
+    def __init__(self, permits: PermitProvider, prefer: PreferPlacement | None = None) -> None:
+        self.permits = permits
+        self.prefer = prefer
+
+    def apply(self, view: View, order: gang_commands.Commands, context: Context) -> list[RowUpdate]:
+        """Returns what a command changes.
 
-    def apply(self, view: View, order: Any, context: Context) -> list[RowUpdate]:
-        orders.check_sender(order, context)
-        desk = Transaction(view, context, self.permits)
-        touched: list[str] = []
-        match order:
-            case orders.SubmitGang():
-                _submit(desk, order)
-            case orders.CancelGang():
-                _cancel(desk, order)
-                touched = [order.gang]
-            case orders.RegisterAgent():
-                touched = _here(desk, order)
-            case orders.ConfirmCheckpoint():
-                touched = [order.gang] if checkpoints.confirm(desk, order) else []
-            case orders.ReportStarted() | orders.ReportStopped() | orders.ReportFailed():
-                touched = [order.gang] if _member(desk, order) else []
-            case orders.ReportCosts():
-                _measured(desk, order)
-            case orders.ReconcileNode():
-                touched = _noticed(desk, order.node)
-        for gang in dict.fromkeys(touched):
-            _look(desk, gang)
-        return _changes(desk)
+        Raises:
+            CommandRejectedError: if the state or the sender does not allow it.
+        """
+        gang_commands.check_sender(order, context)
+        transaction = Transaction(view, context, self.permits)
+        _reconcile_all(transaction, _apply_command(transaction, order))
+        return transaction.effective_updates()
 
     def next_timer_ms(self, view: View) -> int | None:
-        found = first(view, rows.TIMERS)
-        return None if found is None else int(found[0][:16])
+        """Returns when time alone next changes something; None: never."""
+        return timers.next_timer_ms(view)
 
     def advance_time(self, view: View, context: Context) -> list[RowUpdate]:
-        desk = Transaction(view, context, self.permits)
-        due = []
-        for key, row in ordered(view, rows.TIMERS):
-            if int(key[:16]) > context.now_ms:
-                break
-            due.append((key, row.name))
-        for key, name in due:
-            if name.startswith(PLACEMENT_ROUND) and name != PLACEMENT_ROUND:
-                desk.draft.put(rows.TIMERS, key, None)
-                for gang in _released(desk, name[1:]):
-                    _look(desk, gang)
-            elif name != PLACEMENT_ROUND and desk.draft.get(rows.GANGS, name) is not None:
-                _look(desk, name)
-        sums = desk.sums()
-        if sums.round_ms and sums.round_ms <= context.now_ms:
-            place_waiting(desk, self.prefer)
-        return _changes(desk)
+        """Returns what has changed by time alone until `context.now_ms`."""
+        transaction = Transaction(view, context, self.permits)
+        for timer in timers.due_timers(view, context.now_ms):
+            match timer:
+                case GangDue(gang=gang):
+                    _reconcile_gang(transaction, gang)
+                case AgentReleaseDue(node=node):
+                    transaction.timers.remove(timer)
+                    _reconcile_all(transaction, agent_reports.release_ended_agent(transaction, node))
+                case RoundDue():
+                    pass  # run below, once, after all gangs that are due
+        round_ms = read_totals(transaction.changes).next_round_ms
+        if round_ms and round_ms <= context.now_ms:
+            place_waiting(transaction, self.prefer)
+        return transaction.effective_updates()
 
     def end_session(self, view: View, context: Context) -> list[RowUpdate]:
-        """The agent's members can't be counted on any more; what they hold is let go later (`LET_GO_MS`)."""
-        hand = view.get(rows.AGENTS, context.client) if context.client_kind == "agent" else None
-        if hand is None or hand.session != context.session:
+        """Returns what changes as the session `context.session` of `context.client` ends."""
+        if context.client_kind != "agent":
             return []
-        desk = Transaction(view, context, self.permits)
-        desk.draft.put(rows.AGENTS, context.client, rows.AgentRow(0, hand.life, context.now_ms))
-        until = timer_key(context.now_ms + members.RELEASE_DELAY_MS, PLACEMENT_ROUND + context.client)
-        desk.draft.put(rows.TIMERS, until, rows.TimerRow(PLACEMENT_ROUND + context.client))
-        fallen: dict[str, list[int]] = {}
-        for gang, number in desk.on_node(context.client):
-            member = desk.member(gang, number)
-            spot = members.active_incarnation(member)
-            if member.node == context.client or (spot and spot.node == context.client and member.state != "fencing"):
-                fallen.setdefault(gang, []).append(number)
-            elif member.next_node == context.client:
-                desk.put_member(gang, number, replace(member, next_node="", next_life=0))
-        for gang, numbers in fallen.items():
-            transitions.lost(desk, gang, numbers, f"the agent of {context.client} is gone", gone=False)
-            _look(desk, gang)
-        return _changes(desk)
-
-
-def _changes(desk: Transaction) -> list[RowUpdate]:
-    """Without what was put back as it was."""
-    draft = desk.draft
-    return [put for put in draft.updates() if draft.under.get(put.table, put.key) != put.row]
-
-
-def _look(desk: Transaction, gang: str) -> None:
-    """And never twice by time alone at the same moment."""
-    if desk.draft.get(rows.GANGS, gang) is None:
+        transaction = Transaction(view, context, self.permits)
+        agent = transaction.agent(context.client)
+        if agent is None or agent.session != context.session:
+            return []
+        for lost in agent_reports.end_session(transaction, agent):
+            recovery.handle_lost_members(transaction, lost.gang, lost.numbers, lost.reason, has_ended=False)
+            _reconcile_gang(transaction, lost.gang)
+        return transaction.effective_updates()
+
+
+def _apply_command(transaction: Transaction, command: gang_commands.Commands) -> Iterable[str]:
+    """Takes a command as fact and returns the gangs that are to be reconciled now."""
+    touched: Iterable[str] = []
+    match command:
+        case gang_commands.SubmitGang():
+            operator_commands.submit(transaction, command)
+        case gang_commands.CancelGang():
+            operator_commands.cancel(transaction, command)
+            touched = [command.gang]
+        case gang_commands.RegisterAgent():
+            touched = agent_reports.register(transaction, command)
+        case gang_commands.ConfirmCheckpoint():
+            touched = [command.gang] if checkpoints.confirm(transaction, command) else []
+        case gang_commands.ReportStarted():
+            touched = agent_reports.report_started(transaction, command)
+        case gang_commands.ReportStopped() | gang_commands.ReportFailed():
+            touched = agent_reports.report_ended(transaction, command)
+        case gang_commands.ReportCosts():
+            agent_reports.report_costs(transaction, command)
+        case gang_commands.ReconcileNode():
+            touched = _reconcile_node(transaction, command.node)
+    return touched
+
+
+def _reconcile_all(transaction: Transaction, gangs: Iterable[str]) -> None:
+    for gang in dict.fromkeys(gangs):
+        _reconcile_gang(transaction, gang)
+
+
+def _reconcile_gang(transaction: Transaction, gang: str) -> None:
+    """Reconciles a gang, and never twice by time alone at the same moment."""
+    if transaction.find_gang(gang) is None:
+        return
+    reconcile(transaction, gang)
+    row = transaction.find_gang(gang)
+    if row is None:
         return
-    reconcile(desk, gang)
-    row = desk.draft.get(rows.GANGS, gang)
-    if row is not None and row.state in ("done", "failed"):
-        carbon_placement.let_go(desk, gang, row)
-    if row is not None and 0 < desk.waking(gang) <= desk.now:
-        desk.wake(gang, desk.next_look())
+    if row.state in FINAL_STATES:
+        carbon_placement.release_reservation(transaction, gang, row)
+    if 0 < transaction.timers.reconcile_due_ms(gang) <= transaction.now_ms:
+        transaction.timers.schedule_reconcile(gang, transaction.timers.next_reconcile_ms())
+
 
+def _reconcile_node(transaction: Transaction, node: str) -> list[str]:
+    """Returns the gangs on a node that are to be reconciled now.
 
-def _noticed(desk: Transaction, node: str) -> list[str]:
-    """Gangs to be looked at now. Where there is time, all that were noticed in one second are looked at
-    together, with one reading of the nodes.
+    Where there is time, all whose nodes changed within one second are reconciled together, with one reading of the
+    nodes.
     """
-    gangs = list(dict.fromkeys(gang for gang, _ in desk.on_node(node)))
-    if departure_ms(desk.node(node), desk.now) <= desk.now + NEAR_MS:
+    gangs = list(dict.fromkeys(key.gang for key in transaction.members_on_node(node)))
+    leaves_ms = departure_ms(transaction.node(node), transaction.now_ms)
+    if leaves_ms <= transaction.now_ms + URGENT_DEPARTURE_MS:
         return gangs
-    full = (desk.now // 1000 + 1) * 1000
+    next_second_ms = (transaction.now_ms // SECOND_MS + 1) * SECOND_MS
     for gang in gangs:
-        at = desk.waking(gang)
-        desk.wake(gang, min(at, full) if at else full)
+        due_ms = transaction.timers.reconcile_due_ms(gang)
+        at_ms = min(due_ms, next_second_ms) if due_ms else next_second_ms
+        transaction.timers.schedule_reconcile(gang, at_ms)
     return []
 
 
-def _submit(desk: Transaction, order: orders.SubmitGang) -> None:
-    orders.check_submission(order, desk.now)
-    if desk.draft.get(rows.GANGS, order.gang) is not None:
-        raise CommandRejectedError(f"{order.gang}: a gang of this name stands; Cancel takes an ended one away")
-    row = rows.GangRow(
-        order.members,
-        order.room,
-        order.work_ms,
-        order.cost_ms,
-        order.load_ms,
-        order.deadline_ms,
-        tuple(sorted(order.zones)),
-        tuple(sorted(order.builds)),
-        order.flexible,
-        "waiting",
-        desk.now,
-        submitted_ms=desk.now,
-        order=desk.index,
-        reason=f"submitted by {desk.context.client}",
-    )
-    places, nodes = ever(desk.draft, row)
-    if places < order.members:
-        raise CommandRejectedError(
-            f"{order.gang}: {order.members} members of room {order.room} can never run together: {nodes}"
-            f" nodes of zones {list(row.zones) or 'all'} and builds {list(row.builds) or 'all'} hold {places}"
-            " of them empty"
-        )
-    desk.put_gang(order.gang, replace(row, latest_ms=transitions.latest_ms(row, desk.now)))
-
-
-def _cancel(desk: Transaction, order: orders.CancelGang) -> None:
-    row = desk.gang(order.gang)
-    if row.state not in ("done", "failed"):
-        transitions.over(desk, order.gang, "failed", f"cancelled by {desk.context.client}: {order.reason}")
-        return
-    living = sorted({spot.node for _, one in desk.members(order.gang) if (spot := members.active_incarnation(one))})
-    if living:
-        raise CommandRejectedError(f"{order.gang}: {row.state}, and still being stopped on {', '.join(living)}")
-    desk.remove(order.gang)
-
-
-def _here(desk: Transaction, order: orders.RegisterAgent) -> list[str]:
-    """One session of a node's agent at a time; the next only after the one before has ended."""
-    by, session = desk.context.client, desk.context.session
-    node, hand = desk.node(by), desk.draft.get(rows.AGENTS, by)
-    if node is None or node.life != order.life:
-        known = "no such node" if node is None else f"its life is {node.life}"
-        raise CommandRejectedError(f"{by}: life {order.life}; {known}")
-    if hand is not None and hand.session and hand.session != session:
-        raise CommandRejectedError(f"{by}: session {hand.session} carries out its orders and has not ended")
-    if hand is not None and hand.session == session and hand.life == order.life:
-        return []
-    if hand is not None and hand.session:
-        raise CommandRejectedError(
-            f"{by}: session {session} spoke for life {hand.life}; life {order.life} begins its own"
-        )
-    gangs = _released(desk, by)
-    desk.draft.put(rows.AGENTS, by, rows.AgentRow(session, order.life))
-    if desk.draft.under.count(rows.QUEUE):
-        desk.round(desk.now)
-    return gangs
-
-
-def _released(desk: Transaction, node: str) -> list[str]:
-    """What an ended session had started there works no more: by time, or by its agent's next word."""
-    hand = desk.draft.get(rows.AGENTS, node)
-    if hand is None or hand.session:
-        return []
-    desk.draft.put(rows.TIMERS, timer_key(hand.ended_ms + members.RELEASE_DELAY_MS, PLACEMENT_ROUND + node), None)
-    desk.draft.put(rows.AGENTS, node, None)
-    gangs = []
-    for gang, number in desk.on_node(node):
-        if desk.member(gang, number).old_node == node:
-            transitions.let_go(desk, gang, number)
-            gangs.append(gang)
-    return list(dict.fromkeys(gangs))
-
-
-def _member(desk: Transaction, order: orders.ReportStarted | orders.ReportStopped | orders.ReportFailed) -> bool:
-    """What the agent of a node says of one member there; False: the same again, which changes nothing."""
-    desk.hand()
-    by, member = desk.context.client, desk.member(order.gang, order.member)
-    where = f"{order.gang}/{order.member}"
-    desk.gang(order.gang)
-    leaves = member.state == "fencing" and member.old_node == by and order.fence >= member.old_fence
-    if leaves and not isinstance(order, orders.ReportStarted):
-        transitions.let_go(desk, order.gang, order.member)
-        return True
-    spot = members.active_incarnation(member)
-    if spot is None or spot.node != by or spot.fence != order.fence:
-        raise CommandRejectedError(f"{where}: fence {order.fence} on {by} is not where it runs; nothing changes")
-    if isinstance(order, orders.ReportStarted):
-        if member.state != "starting":
-            return False
-        desk.put_member(order.gang, order.member, replace(member, state="running"))
-        return True
-    why = order.reason if isinstance(order, orders.ReportFailed) else "stopped without an order"
-    row = desk.change(order.gang, tries=desk.gang(order.gang).tries + 1)
-    if row.tries >= transitions.MAX_FAILURES and row.state not in ("done", "failed", "waiting"):
-        transitions.over(desk, order.gang, "failed", f"fell {row.tries} times since epoch {row.epoch}; last: {why}")
-    transitions.lost(desk, order.gang, [order.member], f"member {order.member} on {by}: {why}", gone=True)
-    return True
-
-
-def _measured(desk: Transaction, order: orders.ReportCosts) -> None:
-    """By an agent that runs a member of it."""
-    desk.hand()
-    row = desk.gang(order.gang)
-    if not any(one.node == desk.context.client for _, one in desk.members(order.gang)):
-        raise CommandRejectedError(f"{order.gang}: no member of it is on {desk.context.client}")
-    desk.change(
-        order.gang,
-        cost_ms=checkpoint_interval.measured(row.cost_ms, order.cost_ms),
-        load_ms=checkpoint_interval.measured(row.load_ms, order.load_ms),
-    )
-
-
 APPLICATION = GangSchedulingApplication(DisruptionPermits(), carbon_placement.prefer)
--- a/brookreach/gang_scheduling/carbon_placement.py
+++ b/brookreach/gang_scheduling/carbon_placement.py
@@ -1,95 +1,106 @@
-"""Where and when a flexible gang that waits is to begin: asked of power in one place.
+"""Where and when a flexible gang that waits is to begin, by the carbon-aware scheduler.
 
-It owns what power is told of a gang and of the room there is. It must never hold a gang back where no
-schedule is agreed, nor longer than its deadline allows; nor plan for so many in one record that a keeper is
-held by it.
+It owns what that scheduler is told of a gang and of the capacity there is. It must never hold a gang back where no
+schedule is agreed, nor longer than its deadline allows; nor plan for so many in one record that a replica is held up.
 """
 
 from __future__ import annotations
 
 import zlib
-from functools import lru_cache
 
 from brookreach.carbon_aware.reservations import from_slot, release, take
 from brookreach.carbon_aware.scheduler import Flexible, choose
 from brookreach.carbon_aware.tables import CURRENT, HOLDS, SLOT_MS, HoldRow
-from brookreach.gang_scheduling import transitions
-from brookreach.gang_scheduling.tables import GANGS, QUEUE, GangRow
+from brookreach.gang_scheduling import estimates
+from brookreach.gang_scheduling.gang_state import FINAL_STATES, GangState
+from brookreach.gang_scheduling.queue import ROUND_INTERVAL_MS, PlacementPreference
+from brookreach.gang_scheduling.tables import GANGS, GangRow
 from brookreach.gang_scheduling.transaction import Transaction
 
-MOST_PLANS = 4  # in one record, on average: each can take 20 ms, and a leader not heard for 300 is replaced
-TURN_MS = 5_000  # as rounds of placing come
+MAX_PLANS_PER_RECORD = 4  # on average: each can take 20 ms, and a leader not heard for 300 is replaced
+SCHEDULE_KEY = "all"
 
 
-def who(name: str) -> str:
+def reservation_owner(name: str) -> str:
+    """Returns the name under which a gang's capacity is reserved with the carbon-aware scheduler."""
     return f"gang:{name}"
 
 
-def free_by_zone(desk: Transaction) -> dict[str, int]:
-    """Room for flexible work: what is free, and what flexible gangs hold."""
+def free_by_zone(transaction: Transaction) -> dict[str, int]:
+    """Returns the capacity for flexible work: what is free, and what flexible gangs hold."""
     free: dict[str, int] = {}
-    for one in desk.stock.nodes.values():
-        if not one.retires_ms:
-            free[one.zone] = free.get(one.zone, 0) + max(0, one.room)
-    for name, row in desk.draft.rows(GANGS):
-        if not row.flexible or row.state in ("waiting", "done", "failed"):
+    for node in transaction.capacity.nodes.values():
+        if not node.retires_ms:
+            free[node.zone] = free.get(node.zone, 0) + max(0, node.free)
+    for name, row in transaction.changes.rows(GANGS):
+        if not row.flexible or row.state == GangState.WAITING or row.state in FINAL_STATES:
             continue
-        for _, member in desk.members(name):
-            node = desk.node(member.node) if member.node else None
-            if node is not None and node.zone in free:
-                free[node.zone] += row.room
+        for member in transaction.members_of(name).values():
+            placed_on = transaction.node(member.node) if member.node else None
+            if placed_on is not None and placed_on.zone in free:
+                free[placed_on.zone] += row.member_capacity
     return free
 
 
-def prefer(desk: Transaction, name: str, row: GangRow) -> tuple[tuple[str, ...], int]:
-    """Zones (none: any), and from when on; its room there is reserved, so that the next one counts it.
+def prefer(transaction: Transaction, name: str, row: GangRow) -> PlacementPreference:
+    """Returns the zone and the start that the scheduler chooses; it is reserved, so that the next gang counts it.
 
-    One run of all its work is planned: nothing pauses or moves a running gang for power, so a plan of several
+    One run of all the gang's work is planned: nothing pauses or moves a running gang for power, so a plan of several
     runs would reserve what never comes.
     """
-    if desk.draft.get(CURRENT, "all") is None:
-        return (), desk.now
-    if not its_turn(desk, name):
-        return as_held(desk, name)
-    left = transitions.left_ms(row, desk.now) + row.load_ms + row.cost_ms
-    job = Flexible(
-        who(name),
-        row.members * row.room,
-        left,
-        row.deadline_ms or row.latest_ms + left,
+    if transaction.changes.get(CURRENT, SCHEDULE_KEY) is None:
+        return PlacementPreference((), transaction.now_ms)
+    if not is_turn_of(transaction, name):
+        return preference_as_reserved(transaction, name)
+    job = _flexible_job(transaction, name, row)
+    choice = choose(transaction.changes, transaction.now_ms, job, free_by_zone(transaction))
+    updates = take(transaction.changes, transaction.now_ms, job.who, job.room, choice.spans)
+    transaction.changes.take(updates)
+    if not choice.zone:
+        return PlacementPreference((), transaction.now_ms)
+    return PlacementPreference((choice.zone,), choice.from_ms)
+
+
+def _flexible_job(transaction: Transaction, name: str, row: GangRow) -> Flexible:
+    move_cost_ms = row.restore_cost_ms + row.checkpoint_cost_ms
+    duration_ms = estimates.remaining_work_ms(row, transaction.now_ms) + move_cost_ms
+    return Flexible(
+        reservation_owner(name),
+        row.member_count * row.member_capacity,
+        duration_ms,
+        row.deadline_ms or row.latest_start_ms + duration_ms,
         row.zones,
-        row.cost_ms + row.load_ms,
-        left,
+        move_cost_ms,
+        duration_ms,
     )
-    choice = choose(desk.draft, desk.now, job, free_by_zone(desk))
-    desk.draft.take(take(desk.draft, desk.now, job.who, job.room, choice.spans))
-    return ((choice.zone,), choice.from_ms) if choice.zone else ((), desk.now)
 
 
-def its_turn(desk: Transaction, name: str) -> bool:
-    """Among many who wait each is asked about once in so many rounds, always in the same ones."""
-    turns = -(-waiting(desk) // MOST_PLANS)
-    return turns <= 1 or zlib.crc32(name.encode()) % turns == desk.now // TURN_MS % turns
+def is_turn_of(transaction: Transaction, name: str) -> bool:
+    """Returns whether a plan is made for this gang now.
 
+    Among many that wait each is asked about once in so many rounds, always in the same ones.
+    """
+    turns = -(-transaction.waiting_count // MAX_PLANS_PER_RECORD)
+    if turns <= 1:
+        return True
+    return zlib.crc32(name.encode()) % turns == transaction.now_ms // ROUND_INTERVAL_MS % turns
 
-@lru_cache(maxsize=1)
-def waiting(desk: Transaction) -> int:
-    """As the record's first question found them: those that fell in this very record, too."""
-    return desk.draft.count(QUEUE)
 
+def preference_as_reserved(transaction: Transaction, name: str) -> PlacementPreference:
+    """Returns the preference by what the gang has reserved; without, it waits for its turn.
 
-def as_held(desk: Transaction, name: str) -> tuple[tuple[str, ...], int]:
-    """By what it has reserved; without, it waits for its turn. Its words stay the same for the slot."""
-    slot = desk.now // SLOT_MS
-    held: HoldRow | None = desk.draft.get(HOLDS, who(name))
+    It stays the same for the slot, and so does the reason that operators read.
+    """
+    slot = transaction.now_ms // SLOT_MS
+    held: HoldRow | None = transaction.changes.get(HOLDS, reservation_owner(name))
     spans = from_slot(held.spans, slot) if held is not None else ()
     if not spans:
-        return (), (slot + 1) * SLOT_MS
-    zone, first, *_ = spans[0]
-    return (zone,), max(desk.now, first * SLOT_MS)
+        return PlacementPreference((), (slot + 1) * SLOT_MS)
+    zone, first_slot, *_ = spans[0]
+    return PlacementPreference((zone,), max(transaction.now_ms, first_slot * SLOT_MS))
 
 
-def let_go(desk: Transaction, name: str, row: GangRow) -> None:
-    """It has ended: what it reserved is for others."""
+def release_reservation(transaction: Transaction, name: str, row: GangRow) -> None:
+    """Gives what an ended gang has reserved to others."""
     if row.flexible:
-        desk.draft.take(release(desk.draft, who(name)))
+        transaction.changes.take(release(transaction.changes, reservation_owner(name)))
--- a/brookreach/gang_scheduling/checkpoints.py
+++ b/brookreach/gang_scheduling/checkpoints.py
@@ -1,7 +1,7 @@
-"""Checkpoints: asked for, confirmed by each member, whole or given up.
+"""Checkpoints: requested, confirmed by each member, complete or abandoned.
 
-It owns `epoch` and `kept_ms`. An epoch's number is asked for once and never again, whatever became of it. It
-must never count one that any member has not confirmed under the fence it runs by.
+It owns a gang's `epoch` and `checkpointed_work_ms`. An epoch's number is requested once and never again, whatever
+became of it. It must never count one that any member has not confirmed under the fencing token it runs by.
 """
 
 from __future__ import annotations
@@ -9,141 +9,198 @@
 from msgspec.structs import replace
 
 from brookreach.coordination.state_machine.application import CommandRejectedError
-from brookreach.gang_scheduling import transitions
+from brookreach.gang_scheduling import departures, estimates, recovery, transitions
 from brookreach.gang_scheduling.commands import ConfirmCheckpoint
-from brookreach.gang_scheduling.migration import departure_ms
-from brookreach.gang_scheduling.tables import GangRow
+from brookreach.gang_scheduling.gang_state import GangState, MemberState
+from brookreach.gang_scheduling.members import Target
+from brookreach.gang_scheduling.node_search import PlacementRequest, find_nodes
+from brookreach.gang_scheduling.tables import AgentRow, GangRow, MemberRow
 from brookreach.gang_scheduling.transaction import Transaction
 
-GIVE_UP_MS = 30_000  # and four times the cost
+CHECKPOINT_TIMEOUT_MS = 30_000  # and four times the cost
+FAILURES_BEFORE_REQUEUE = 3  # checkpoints in a row that members don't confirm, before the gang is placed anew
 
 
-def ask(desk: Transaction, name: str, reason: str) -> None:
-    """All members pause at one point of the work and keep it."""
-    row = transitions.paused(desk, name, desk.gang(name), "checkpointing", reason)
-    wake = min(desk.next_look(), desk.now + GIVE_UP_MS + 4 * row.cost_ms)
-    desk.change(name, asked_epoch=row.asked_epoch + 1, asked_ms=desk.now, wake_ms=wake)
+def _timeout_ms(row: GangRow) -> int:
+    return CHECKPOINT_TIMEOUT_MS + 4 * row.checkpoint_cost_ms
 
 
-def confirm(desk: Transaction, order: ConfirmCheckpoint) -> bool:
-    """One member's part; False: said before. Raises CommandRejectedError for another epoch, fence or node than was
-    asked.
+def request(transaction: Transaction, name: str, reason: str) -> None:
+    """Has all members pause at one point of the work and save it."""
+    row = transitions.enter_state(transaction, name, GangState.CHECKPOINTING, reason)
+    deadline_ms = transaction.now_ms + _timeout_ms(row)
+    transaction.change_gang(
+        name,
+        requested_epoch=row.requested_epoch + 1,
+        requested_ms=transaction.now_ms,
+        reconcile_ms=min(transaction.timers.next_reconcile_ms(), deadline_ms),
+    )
+
+
+def confirm(transaction: Transaction, command: ConfirmCheckpoint) -> bool:
+    """Takes one member's part of a checkpoint.
+
+    Returns:
+        False where it was confirmed before.
+
+    Raises:
+        CommandRejectedError: if another epoch, fencing token or node was asked.
+    """
+    row = transaction.gang(command.gang)
+    member = transaction.member(command.gang, command.member)
+    _check_confirmation(row, member, transaction.sender_registration(), transaction.context.client, command)
+    if member.confirmed_epoch == command.epoch:
+        return False
+    confirmed = replace(member, confirmed_epoch=command.epoch, confirmed_work_ms=command.work_ms)
+    transaction.put_member(command.gang, command.member, confirmed)
+    if is_complete(transaction, command.gang):
+        complete(transaction, command.gang)
+    return True
+
+
+def _check_confirmation(
+    row: GangRow, member: MemberRow, agent: AgentRow, sender: str, command: ConfirmCheckpoint
+) -> None:
+    """Checks a confirmation against what was requested.
+
+    Raises:
+        CommandRejectedError: if anything differs.
     """
-    row, member = desk.gang(order.gang), desk.member(order.gang, order.member)
-    hand, where = desk.hand(), f"{order.gang}/{order.member}"
-    if row.state != "checkpointing" or order.epoch != row.asked_epoch:
+    where = f"{command.gang}/{command.member}"
+    if row.state != GangState.CHECKPOINTING or command.epoch != row.requested_epoch:
         raise CommandRejectedError(
-            f"{where}: epoch {order.epoch} is not asked for; {row.state}, last {row.asked_epoch}"
+            f"{where}: epoch {command.epoch} is not asked for; {row.state}, last {row.requested_epoch}"
         )
-    told = order.node, order.life, order.fence
-    if member.state != "running" or told != (member.node, member.life, member.fence):
+    confirmed_by = command.node, command.node_incarnation, command.fencing_token
+    runs_as = member.node, member.node_incarnation, member.fencing_token
+    if member.state != MemberState.RUNNING or confirmed_by != runs_as:
         raise CommandRejectedError(
-            f"{where}: confirmed by {order.node} life {order.life} fence {order.fence}; it runs on"
-            f" {member.node or 'no node'} life {member.life} fence {member.fence}, {member.state}"
+            f"{where}: confirmed by {command.node} life {command.node_incarnation} fence {command.fencing_token};"
+            f" it runs on {member.node or 'no node'} life {member.node_incarnation} fence {member.fencing_token},"
+            f" {member.state}"
         )
-    if desk.context.client != order.node or hand.life != order.life:
+    if sender != command.node or agent.node_incarnation != command.node_incarnation:
         raise CommandRejectedError(
-            f"{where}: {desk.context.client!r} life {hand.life} speaks for {order.node} {order.life}"
+            f"{where}: {sender!r} life {agent.node_incarnation} speaks for {command.node} {command.node_incarnation}"
+        )
+    if command.work_ms < row.checkpointed_work_ms:
+        raise CommandRejectedError(
+            f"{where}: work_ms: {command.work_ms}; epoch {row.epoch} already kept {row.checkpointed_work_ms}"
         )
-    if order.work_ms < row.kept_ms:
-        raise CommandRejectedError(f"{where}: work_ms: {order.work_ms}; epoch {row.epoch} already kept {row.kept_ms}")
-    if member.epoch == order.epoch:
-        return False
-    desk.put_member(order.gang, order.member, replace(member, epoch=order.epoch, work_ms=order.work_ms))
-    if is_whole(desk, order.gang):
-        whole(desk, order.gang)
-    return True
 
 
-def is_whole(desk: Transaction, name: str) -> bool:
-    row = desk.gang(name)
-    return all(member.epoch == row.asked_epoch for _, member in desk.members(name))
+def is_complete(transaction: Transaction, name: str) -> bool:
+    """Returns whether every member confirmed the requested epoch."""
+    row = transaction.gang(name)
+    return all(member.confirmed_epoch == row.requested_epoch for member in transaction.members_of(name).values())
 
 
-def whole(desk: Transaction, name: str) -> None:
-    """Every member confirmed the same epoch: it counts, and what waited for it goes on."""
-    row = desk.gang(name)
-    kept = min(row.work_ms, min(member.work_ms for _, member in desk.members(name)))
-    desk.change(name, epoch=row.asked_epoch, kept_ms=kept, done_ms=0, tries=0)
-    if kept >= row.work_ms:
-        late = f", {desk.now - row.deadline_ms} ms late" if 0 < row.deadline_ms < desk.now else ""
-        transitions.over(desk, name, "done", f"done with epoch {row.asked_epoch}{late}")
+def complete(transaction: Transaction, name: str) -> None:
+    """Counts the requested epoch, and goes on with what waited for it."""
+    row = transaction.gang(name)
+    confirmed_ms = min(member.confirmed_work_ms for member in transaction.members_of(name).values())
+    work_ms = min(row.work_ms, confirmed_ms)
+    transaction.change_gang(
+        name, epoch=row.requested_epoch, checkpointed_work_ms=work_ms, unsaved_work_ms=0, failures=0
+    )
+    if work_ms < row.work_ms:
+        _move_or_resume(transaction, name, row.reason)
         return
-    _leave(desk, name, row.reason)
-
-
-def _leave(desk: Transaction, name: str, reason: str) -> None:
-    """Those for whom room is held go to it, those that died meanwhile too; the others stay, paused."""
-    row = desk.gang(name)
-    until = transitions.ends_ms(desk, row, load=True)
-    spots, homeless, dead = {}, [], False
-    for number, member in desk.members(name):
-        dead = dead or member.state != "running"
-        there = replace(member, node=member.next_node, life=member.next_life)
-        if member.next_node and transitions.homely(desk, there, until):
-            spots[number] = member.next_node, member.next_life
-        elif member.next_node or member.state != "running":
+    is_late = 0 < row.deadline_ms < transaction.now_ms
+    late = f", {transaction.now_ms - row.deadline_ms} ms late" if is_late else ""
+    transitions.finish(transaction, name, GangState.DONE, f"done with epoch {row.requested_epoch}{late}")
+
+
+def _move_or_resume(transaction: Transaction, name: str, reason: str) -> None:
+    """Sends members to the nodes reserved for them, and those that died to others; the rest stay, paused."""
+    row = transaction.gang(name)
+    end_ms = estimates.expected_end_after_restore_ms(transaction, row)
+    rows = transaction.members_of(name)
+    has_dead = any(member.state != MemberState.RUNNING for member in rows.values())
+    targets: dict[int, Target] = {}
+    homeless = []
+    for number, member in rows.items():
+        target = Target(member.next_node, member.next_node_incarnation)
+        if member.next_node and _can_start_on(transaction, member, target, end_ms):
+            targets[number] = target
+        elif member.next_node or member.state != MemberState.RUNNING:
             homeless.append(number)
     if homeless:
-        but = tuple(sorted({desk.member(name, number).node for number in homeless} - {""}))
-        found = desk.stock.fit(row, len(homeless), until, but=but)
-        if found is None and dead:
+        excluded = tuple(sorted({rows[number].node for number in homeless} - {""}))
+        found = find_nodes(transaction.capacity, PlacementRequest(row, len(homeless), end_ms, excluded=excluded))
+        if found is None and has_dead:
             why = f"epoch {row.epoch} kept; no room for {len(homeless)} members, so all wait"
-            transitions.to_waiting(desk, name, why)
+            transitions.return_to_queue(transaction, name, why)
             return
-        spots |= {number: (one.node, one.life) for number, one in zip(homeless, found or [], strict=False)}
-    if not spots:
-        transitions.unreserve(desk, name)
-        transitions.run_on(desk, name, "no room any more where it was to go" if homeless else "work goes on")
+        if found is not None:
+            nodes = zip(homeless, found, strict=True)
+            targets |= {number: transitions.target_of(node) for number, node in nodes}
+    if targets:
+        transitions.start_members(transaction, name, targets, GangState.MOVING, reason)
+        transitions.cancel_reservations(transaction, name)
         return
-    transitions.set_out(desk, name, spots, "moving", reason)
-    transitions.unreserve(desk, name)
+    transitions.cancel_reservations(transaction, name)
+    transitions.resume(transaction, name, "no room any more where it was to go" if homeless else "work goes on")
 
 
-def look(desk: Transaction, name: str) -> None:
-    """While one is under way: may it still end?"""
-    row = desk.gang(name)
-    if is_whole(desk, name):
-        whole(desk, name)
+def _can_start_on(transaction: Transaction, member: MemberRow, target: Target, end_ms: int) -> bool:
+    there = replace(member, node=target.node, node_incarnation=target.node_incarnation)
+    return recovery.can_start_on_node(transaction, there, end_ms)
+
+
+def reconcile(transaction: Transaction, name: str) -> None:
+    """Decides whether a checkpoint under way is complete, may still be, or is abandoned."""
+    row = transaction.gang(name)
+    deadline_ms = row.requested_ms + _timeout_ms(row)
+    if is_complete(transaction, name):
+        complete(transaction, name)
         return
-    if desk.now >= row.asked_ms + GIVE_UP_MS + 4 * row.cost_ms:
-        late = [str(number) for number, one in desk.members(name) if one.epoch != row.asked_epoch]
-        _late(desk, name, f"epoch {row.asked_epoch} given up: members {', '.join(late)} did not confirm")
+    if transaction.now_ms >= deadline_ms:
+        late = [
+            str(number)
+            for number, member in transaction.members_of(name).items()
+            if member.confirmed_epoch != row.requested_epoch
+        ]
+        reason = f"epoch {row.requested_epoch} given up: members {', '.join(late)} did not confirm"
+        _handle_timeout(transaction, name, reason)
         return
-    gone = _cut_short(desk, name, row)
-    if gone:
-        give_up(desk, name, gone)
+    cut_short = _cut_short_by_departure(transaction, name, row)
+    if cut_short is not None:
+        abandon(transaction, name, cut_short)
         return
-    wake = [desk.next_look(), row.asked_ms + GIVE_UP_MS + 4 * row.cost_ms]
-    desk.change(name, wake_ms=min(wake))
+    transaction.change_gang(name, reconcile_ms=min(transaction.timers.next_reconcile_ms(), deadline_ms))
 
 
-def _cut_short(desk: Transaction, name: str, row: GangRow) -> str:
-    """A notice brought forward: does a node go before its member can confirm? Else the checkpoint goes on."""
-    for _, member in desk.members(name):
-        leave = departure_ms(desk.node(member.node), desk.now) if member.node else 0
-        ends = max(row.asked_ms + row.cost_ms, desk.now + 1)
-        if member.epoch != row.asked_epoch and leave and leave < ends:
-            return f"{member.node} now leaves at {leave}, before epoch {row.asked_epoch} can end: given up"
-    return ""
+def _cut_short_by_departure(transaction: Transaction, name: str, row: GangRow) -> str | None:
+    """Returns a reason where a node now leaves before its member can confirm; else the checkpoint goes on."""
+    earliest_end_ms = max(row.requested_ms + row.checkpoint_cost_ms, transaction.now_ms + 1)
+    for member in transaction.members_of(name).values():
+        if not member.node or member.confirmed_epoch == row.requested_epoch:
+            continue
+        leaves_ms = departures.departure_ms(transaction.node(member.node), transaction.now_ms)
+        if leaves_ms and leaves_ms < earliest_end_ms:
+            return f"{member.node} now leaves at {leaves_ms}, before epoch {row.requested_epoch} can end: given up"
+    return None
 
 
-def give_up(desk: Transaction, name: str, reason: str) -> None:
-    """Members go on with their work, or, where one has fallen, all go back."""
-    dead = [number for number, member in desk.members(name) if member.state != "running"]
+def abandon(transaction: Transaction, name: str, reason: str) -> None:
+    """Lets members go on with their work, or, where one has fallen, takes all back."""
+    rows = transaction.members_of(name)
+    dead = [number for number, member in rows.items() if member.state != MemberState.RUNNING]
     if dead:
-        transitions.go_back(desk, name, dead, reason)
+        recovery.restore_from_checkpoint(transaction, name, dead, reason)
         return
-    transitions.unreserve(desk, name)
-    transitions.run_on(desk, name, reason)
-
-
-def _late(desk: Transaction, name: str, reason: str) -> None:
-    """Members that don't confirm in time: once or twice it may go on, then it is placed anew."""
-    row = desk.change(name, tries=desk.gang(name).tries + 1)
-    if row.tries >= transitions.MAX_FAILURES:
-        transitions.over(desk, name, "failed", reason)
-    elif row.tries >= 3:
-        transitions.to_waiting(desk, name, reason)
+    transitions.cancel_reservations(transaction, name)
+    transitions.resume(transaction, name, reason)
+
+
+def _handle_timeout(transaction: Transaction, name: str, reason: str) -> None:
+    """Reacts to members that don't confirm: once or twice the gang goes on, then it is placed anew."""
+    failures = transaction.gang(name).failures + 1
+    transaction.change_gang(name, failures=failures)
+    if failures >= transitions.MAX_FAILURES:
+        transitions.finish(transaction, name, GangState.FAILED, reason)
+    elif failures >= FAILURES_BEFORE_REQUEUE:
+        transitions.return_to_queue(transaction, name, reason)
     else:
-        give_up(desk, name, reason)
+        abandon(transaction, name, reason)
--- a/brookreach/gang_scheduling/commands.py
+++ b/brookreach/gang_scheduling/commands.py
@@ -1,8 +1,11 @@
-"""What may be asked of gangs, and by whom. It owns the bounds of every field and must never change a row."""
+"""The commands of gang scheduling: what may be asked, by whom, within which bounds.
+
+A command is encoded by its tag and the names of its fields, which must never change; this module changes no row.
+"""
 
 from __future__ import annotations
 
-from typing import Annotated
+from typing import Annotated, Final
 
 import msgspec
 
@@ -10,95 +13,103 @@
 from brookreach.coordination.protocol.tags import wire_name
 from brookreach.coordination.state_machine.application import Command, CommandRejectedError, Context
 
-MAX_MEMBERS, MAX_CAPACITY, MAX_DURATION_MS = 256, 1 << 32, 1 << 41  # the last: some seventy years
+MAX_MEMBERS = 256
+MAX_CAPACITY = 1 << 32
+MAX_DURATION_MS = 1 << 41  # some seventy years
+MAX_TIMESTAMP_MS = 1 << 50
+MAX_ZONES = 64
+MAX_BUILDS = 64
+GANG_NAME_PATTERN: Final = r"^[A-Za-z0-9._-]+\Z"
 
 MemberCount = Annotated[int, msgspec.Meta(ge=1, le=MAX_MEMBERS)]
+MemberNumber = Annotated[int, msgspec.Meta(ge=0, lt=MAX_MEMBERS)]
 Capacity = Annotated[int, msgspec.Meta(ge=1, le=MAX_CAPACITY)]
 DurationMs = Annotated[int, msgspec.Meta(ge=1, le=MAX_DURATION_MS)]
-TimestampMs = Annotated[int, msgspec.Meta(ge=0, le=1 << 50)]
-MemberIndex = Annotated[int, msgspec.Meta(ge=0, lt=MAX_MEMBERS)]
-GangName = Annotated[str, msgspec.Meta(min_length=1, max_length=64, pattern=r"^[A-Za-z0-9._-]+\Z")]
+TimestampMs = Annotated[int, msgspec.Meta(ge=0, le=MAX_TIMESTAMP_MS)]
+GangName = Annotated[str, msgspec.Meta(min_length=1, max_length=64, pattern=GANG_NAME_PATTERN)]
 
 
 class SubmitGang(Command, frozen=True, tag="Submit"):
-    """A new gang. `deadline_ms` 0: none. `flexible`: it may wait, and move, for cleaner power."""
+    """An operator submits a new gang. The costs are first guesses, until agents measure them."""
 
     gang: GangName
-    members: MemberCount
-    room: Capacity  # of each member
+    member_count: MemberCount = msgspec.field(name="members")
+    member_capacity: Capacity = msgspec.field(name="room")  # that each member takes of its node
     work_ms: DurationMs
-    cost_ms: DurationMs  # of a checkpoint, until it is measured
-    load_ms: DurationMs
-    deadline_ms: TimestampMs = 0
-    zones: Annotated[tuple[Name, ...], msgspec.Meta(max_length=64)] = ()
-    builds: Annotated[tuple[Count, ...], msgspec.Meta(max_length=64)] = ()
-    flexible: bool = False
+    checkpoint_cost_ms: DurationMs = msgspec.field(name="cost_ms")
+    restore_cost_ms: DurationMs = msgspec.field(name="load_ms")
+    deadline_ms: TimestampMs = 0  # 0: none
+    zones: Annotated[tuple[Name, ...], msgspec.Meta(max_length=MAX_ZONES)] = ()
+    builds: Annotated[tuple[Count, ...], msgspec.Meta(max_length=MAX_BUILDS)] = ()
+    flexible: bool = False  # it may wait for cleaner power
 
 
 class CancelGang(Command, frozen=True, tag="Cancel"):
-    """An operator ends a gang; of one that has ended it takes the rows away."""
+    """An operator ends a gang; of one that has ended it removes the rows."""
 
     gang: GangName
     reason: Text
 
 
 class RegisterAgent(Command, frozen=True, tag="Here"):
-    """A node's agent: this session of mine carries out orders, and nothing of an earlier one works."""
+    """A node's agent registers its session: it carries out tasks, and nothing of an earlier session works."""
 
-    life: Count
+    node_incarnation: Count = msgspec.field(name="life")
 
 
 class ConfirmCheckpoint(Command, frozen=True, tag="Confirmed"):
-    """An agent: the member's part of this epoch is kept, away from the node."""
+    """An agent reports that the member's part of this epoch is stored, away from the node."""
 
     gang: GangName
-    member: MemberIndex
+    member: MemberNumber
     epoch: Count
     node: Name
-    life: Count
-    fence: Count
+    node_incarnation: Count = msgspec.field(name="life")
+    fencing_token: Count = msgspec.field(name="fence")
     work_ms: TimestampMs
 
 
 class ReportStarted(Command, frozen=True, tag="Started"):
-    """An agent: loaded, and waits for the others."""
+    """An agent reports that a member is restored, and waits for the others."""
 
     gang: GangName
-    member: MemberIndex
-    fence: Count
+    member: MemberNumber
+    fencing_token: Count = msgspec.field(name="fence")
 
 
 class ReportStopped(Command, frozen=True, tag="Stopped"):
-    """An agent: no incarnation up to this fence works on this node, nor ever will."""
+    """An agent reports that no incarnation up to this fencing token works on its node, nor ever will."""
 
     gang: GangName
-    member: MemberIndex
-    fence: Count
+    member: MemberNumber
+    fencing_token: Count = msgspec.field(name="fence")
 
 
 class ReportFailed(Command, frozen=True, tag="Failed"):
-    """An agent: it ended by itself."""
+    """An agent reports that a member ended by itself."""
 
     gang: GangName
-    member: MemberIndex
-    fence: Count
+    member: MemberNumber
+    fencing_token: Count = msgspec.field(name="fence")
     reason: Text
 
 
 class ReportCosts(Command, frozen=True, tag="Measured"):
-    """An agent: what a checkpoint and a load really cost; 0 for what was not measured."""
+    """An agent reports what a checkpoint and a restore really cost; 0 for what was not measured."""
 
     gang: GangName
-    cost_ms: TimestampMs
-    load_ms: TimestampMs
+    checkpoint_cost_ms: TimestampMs = msgspec.field(name="cost_ms")
+    restore_cost_ms: TimestampMs = msgspec.field(name="load_ms")
 
 
 class ReconcileNode(Command, frozen=True, tag="Noticed"):
-    """Anybody: this node's row has changed, look at the gangs on it now. It says nothing of its own."""
+    """Anybody: this node's row has changed, reconcile the gangs on it now. The node's row counts, not the sender."""
 
     node: Name
 
 
+OperatorCommand = SubmitGang | CancelGang
+AgentCommand = RegisterAgent | ConfirmCheckpoint | ReportStarted | ReportStopped | ReportFailed | ReportCosts
 Commands = (
     SubmitGang
     | CancelGang
@@ -110,38 +121,42 @@
     | ReportCosts
     | ReconcileNode
 )
-OPERATOR_COMMANDS, AGENT_COMMANDS = (
-    (SubmitGang, CancelGang),
-    (RegisterAgent, ConfirmCheckpoint, ReportStarted, ReportStopped, ReportFailed, ReportCosts),
-)
 
 
-def check_sender(order: Commands, context: Context) -> None:
-    """Raises CommandRejectedError where this client may not say that."""
-    who = f"{context.client!r} is {context.client_kind or 'the group'}"
-    if isinstance(order, OPERATOR_COMMANDS) and context.client_kind != "operator":
-        raise CommandRejectedError(f"{wire_name(order)} is for operators; {who}")
-    if isinstance(order, AGENT_COMMANDS) and context.client_kind != "agent":
-        raise CommandRejectedError(f"{wire_name(order)} is for agents; {who}")
+def check_sender(command: Commands, context: Context) -> None:
+    """Checks that this kind of client may send this command.
+
+    Raises:
+        CommandRejectedError: if it may not.
+    """
+    sender = f"{context.client!r} is {context.client_kind or 'the group'}"
+    if isinstance(command, OperatorCommand) and context.client_kind != "operator":
+        raise CommandRejectedError(f"{wire_name(command)} is for operators; {sender}")
+    if isinstance(command, AgentCommand) and context.client_kind != "agent":
+        raise CommandRejectedError(f"{wire_name(command)} is for agents; {sender}")
+
 
+def check_submission(command: SubmitGang, now_ms: int) -> None:
+    """Checks what the bounds of single fields don't say, and those bounds for commands made without decoding.
 
-def check_submission(order: SubmitGang, now: int) -> None:
-    """Raises CommandRejectedError with what stands there and what is allowed, beyond what each field's bounds say."""
+    Raises:
+        CommandRejectedError: with the offending value and what is allowed.
+    """
     bounds = (
-        ("members", order.members, MAX_MEMBERS),
-        ("room", order.room, MAX_CAPACITY),
-        ("work_ms", order.work_ms, MAX_DURATION_MS),
-        ("cost_ms", order.cost_ms, MAX_DURATION_MS),
-        ("load_ms", order.load_ms, MAX_DURATION_MS),
+        ("members", command.member_count, MAX_MEMBERS),
+        ("room", command.member_capacity, MAX_CAPACITY),
+        ("work_ms", command.work_ms, MAX_DURATION_MS),
+        ("cost_ms", command.checkpoint_cost_ms, MAX_DURATION_MS),
+        ("load_ms", command.restore_cost_ms, MAX_DURATION_MS),
     )
     for name, value, most in bounds:
         if not 1 <= value <= most:
-            raise CommandRejectedError(f"{order.gang}: {name}: {value}; 1 to {most} are allowed")
-    least = now + order.work_ms + order.load_ms
-    if order.deadline_ms and order.deadline_ms < least:
+            raise CommandRejectedError(f"{command.gang}: {name}: {value}; 1 to {most} are allowed")
+    earliest_ms = now_ms + command.work_ms + command.restore_cost_ms
+    if command.deadline_ms and command.deadline_ms < earliest_ms:
         raise CommandRejectedError(
-            f"{order.gang}: deadline_ms: {order.deadline_ms}; with work and load {least} is the soonest"
+            f"{command.gang}: deadline_ms: {command.deadline_ms}; with work and load {earliest_ms} is the soonest"
         )
-    for name, told in (("zones", order.zones), ("builds", order.builds)):
-        if len(set(told)) != len(told):
-            raise CommandRejectedError(f"{order.gang}: {name}: {list(told)}; each may stand there once")
+    for name, values in (("zones", command.zones), ("builds", command.builds)):
+        if len(set(values)) != len(values):
+            raise CommandRejectedError(f"{command.gang}: {name}: {list(values)}; each may stand there once")
--- a/brookreach/gang_scheduling/disruption_permits.py
+++ b/brookreach/gang_scheduling/disruption_permits.py
@@ -1,11 +1,13 @@
-"""The seam to outages: how a gang asks to take members off a node that stands, within one record.
+"""Permits of `brookreach.disruption` to move members off a node that stands, asked for within one record.
 
-It owns the names of gangs' permits. It must never put a permit's row itself, nor take one that is not given
-for a given one.
+It owns the names of gangs' permits. It must never put a permit's row itself, nor take one that is not granted for a
+granted one.
 """
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+from enum import Enum
 from typing import Protocol
 
 from brookreach.coordination.state_machine.application import CommandRejectedError, Context, StagedChanges
@@ -13,39 +15,76 @@
 from brookreach.disruption.tables import PERMITS, PermitRow
 
 
-class PermitProvider(Protocol):
-    """What gangs need of it; the drill's own budget is another."""
+class PermitState(Enum):
+    """How far a permit is, as far as a gang needs to know."""
+
+    WAITING = "waiting"
+    GRANTED = "granted"
+    ABSENT = "absent"  # it stands no more, and has to be requested anew
+
+
+@dataclass(frozen=True, slots=True)
+class PermitStatus:
+    """The state of one permit, and since when it is granted (0 where it isn't)."""
 
-    def ask(self, draft: StagedChanges, context: Context, name: str, node: str, urgency: int, reason: str) -> str:
-        """Wait for a permit to move what runs on this node. Why it can't even wait, or ""."""
+    state: PermitState
+    granted_ms: int = 0
+
+
+class PermitProvider(Protocol):
+    """What gang scheduling needs of permits; the simulation's budget is another."""
+
+    def request(
+        self, draft: StagedChanges, context: Context, name: str, node: str, urgency: int, reason: str
+    ) -> str | None:
+        """Waits for a permit to move what runs on `node`.
+
+        Args:
+            draft: The record's changes so far; the permit's row is put there.
+            context: Of the record.
+            name: The permit's, by `permit_name`.
+            node: The node that is to be left.
+            urgency: 0 to 9, the most urgent first.
+            reason: For operators.
+
+        Returns:
+            Why it can't even wait; None where it does.
+        """
         ...
 
-    def given_ms(self, draft: StagedChanges, name: str) -> int:
-        """Since when it is given; 0: it waits; -1: it stands no more, and is to be asked for anew."""
+    def status(self, draft: StagedChanges, name: str) -> PermitStatus:
+        """Returns how far the permit is."""
         ...
 
     def end(self, draft: StagedChanges, context: Context, name: str, reason: str) -> None:
-        """The move is over, or not wanted any more."""
+        """Ends the permit: the move is over, or not wanted any more."""
         ...
 
 
 class DisruptionPermits:
-    """By the budgets, queue and halts of `brookreach.disruption`."""
+    """Permits by the budgets, the queue and the halts of `brookreach.disruption`."""
 
-    def ask(self, draft: StagedChanges, context: Context, name: str, node: str, urgency: int, reason: str) -> str:
+    def request(
+        self, draft: StagedChanges, context: Context, name: str, node: str, urgency: int, reason: str
+    ) -> str | None:
+        """Waits for a permit, as `PermitProvider.request` says."""
         try:
             permits.ask(draft, context, name, "move", node, urgency, reason)
-        except CommandRejectedError as refusal:
-            return str(refusal)
-        return ""
+        except CommandRejectedError as rejection:
+            return str(rejection)
+        return None
 
-    def given_ms(self, draft: StagedChanges, name: str) -> int:
+    def status(self, draft: StagedChanges, name: str) -> PermitStatus:
+        """Returns how far the permit is."""
         row: PermitRow | None = draft.get(PERMITS, name)
         if row is None or row.state not in ("waiting", "given"):
-            return -1
-        return max(1, row.given_ms) if row.state == "given" else 0
+            return PermitStatus(PermitState.ABSENT)
+        if row.state == "waiting":
+            return PermitStatus(PermitState.WAITING)
+        return PermitStatus(PermitState.GRANTED, max(1, row.given_ms))
 
     def end(self, draft: StagedChanges, context: Context, name: str, reason: str) -> None:
+        """Withdraws a permit that waits, and completes one that is granted."""
         row: PermitRow | None = draft.get(PERMITS, name)
         if row is not None and row.state == "waiting":
             permits.take_back(draft, context, name, reason)
@@ -53,12 +92,12 @@
             permits.done(draft, context, name)
 
 
-def permit_name(gang: str, fence: int, member: int) -> str:
-    """One that nobody has asked for before, and short enough for any gang's name."""
-    return f"gangs:{gang}:{fence}.{member}"
+def permit_name(gang: str, log_index: int, member: int) -> str:
+    """Returns a name that nobody has used before, short enough for any gang's name."""
+    return f"gangs:{gang}:{log_index}.{member}"
 
 
-def permit_target(draft: StagedChanges, name: str) -> str:
-    """The node that it is for; "" where it stands no more."""
+def permit_target(draft: StagedChanges, name: str) -> str | None:
+    """Returns the node that a permit is for; None where it stands no more."""
     row: PermitRow | None = draft.get(PERMITS, name)
-    return row.target if row is not None else ""
+    return row.target if row is not None else None
--- a/brookreach/gang_scheduling/gang_file.py
+++ b/brookreach/gang_scheduling/gang_file.py
@@ -1,4 +1,4 @@
-"""Operators' gangs as TOML: read into `Submit` orders, checked as a whole before anything is asked.
+"""Operators' gangs as TOML: read into `SubmitGang` commands, checked as a whole before anything is asked.
 
 It must never let a key pass that it does not know, nor half a file.
 """
@@ -12,21 +12,27 @@
 
 from brookreach.coordination.state_machine.application import CommandRejectedError
 from brookreach.files import BadFile, checked, read_toml
-from brookreach.gang_scheduling import commands
-from brookreach.gang_scheduling.commands import Capacity, DurationMs, GangName, MemberCount, SubmitGang
+from brookreach.gang_scheduling.commands import (
+    Capacity,
+    DurationMs,
+    GangName,
+    MemberCount,
+    SubmitGang,
+    check_submission,
+)
+
+DEADLINE_EXAMPLE = "2026-10-01T06:00:00+02:00"
 
 
 class GangSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """[[gang]]: a long job. `cost_ms` and `load_ms` are first guesses; what agents measure takes their
-    place.
-    """
+    """A section [[gang]]: one long job. The costs are first guesses, until agents measure them."""
 
     name: GangName
-    members: MemberCount
-    room: Capacity
+    member_count: MemberCount = msgspec.field(name="members")
+    member_capacity: Capacity = msgspec.field(name="room")
     work_ms: DurationMs
-    cost_ms: DurationMs
-    load_ms: DurationMs
+    checkpoint_cost_ms: DurationMs = msgspec.field(name="cost_ms")
+    restore_cost_ms: DurationMs = msgspec.field(name="load_ms")
     deadline: datetime | None = None  # with an offset
     zones: tuple[str, ...] = ()
     builds: tuple[int, ...] = ()
@@ -36,42 +42,55 @@
 class GangsFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """All gangs of one file."""
 
-    gang: tuple[GangSection, ...]
+    gangs: tuple[GangSection, ...] = msgspec.field(name="gang")
 
 
 def read_gang_file(file: Path, now_ms: int) -> list[SubmitGang]:
-    """Raises BadFile with all that is wrong, each by its key's path."""
-    told, errors, made = checked(file, read_toml(file), GangsFile), [], []
-    names = [one.name for one in told.gang]
-    for at, one in enumerate(told.gang):
-        where = f"{file}: gang[{at}]"
-        if names.index(one.name) != at:
-            errors.append(f"{where}.name: {one.name!r} stands twice")
-        if one.deadline is not None and one.deadline.tzinfo is None:
-            errors.append(f"{where}.deadline: {one.deadline} has no offset; as in 2026-10-01T06:00:00+02:00")
+    """Reads the commands that submit all gangs of a file.
+
+    Args:
+        file: TOML.
+        now_ms: By which deadlines are checked; 0: deadlines may be past.
+
+    Raises:
+        BadFile: with all that is wrong, each by its key's path.
+    """
+    sections = checked(file, read_toml(file), GangsFile).gangs
+    names = [section.name for section in sections]
+    commands, errors = [], []
+    for index, section in enumerate(sections):
+        where = f"{file}: gang[{index}]"
+        if names.index(section.name) != index:
+            errors.append(f"{where}.name: {section.name!r} stands twice")
+        if section.deadline is not None and section.deadline.tzinfo is None:
+            errors.append(f"{where}.deadline: {section.deadline} has no offset; as in {DEADLINE_EXAMPLE}")
             continue
-        order = _order(one)
+        command = _command(section)
         try:
-            commands.check_submission(order, now_ms)
-        except CommandRejectedError as refusal:
-            errors.append(f"{where}: {refusal}")
-        made.append(order)
+            check_submission(command, now_ms)
+        except CommandRejectedError as rejection:
+            errors.append(f"{where}: {rejection}")
+        commands.append(command)
     if errors:
         raise BadFile(errors)
-    return made
+    return commands
 
 
-def _order(one: GangSection) -> SubmitGang:
-    at = int(one.deadline.astimezone(UTC).timestamp()) * 1000 if one.deadline is not None else 0
+def _command(section: GangSection) -> SubmitGang:
     return SubmitGang(
-        one.name,
-        one.members,
-        one.room,
-        one.work_ms,
-        one.cost_ms,
-        one.load_ms,
-        at,
-        one.zones,
-        one.builds,
-        one.flexible,
+        section.name,
+        section.member_count,
+        section.member_capacity,
+        section.work_ms,
+        section.checkpoint_cost_ms,
+        section.restore_cost_ms,
+        _timestamp_ms(section.deadline),
+        section.zones,
+        section.builds,
+        section.flexible,
     )
+
+
+def _timestamp_ms(moment: datetime | None) -> int:
+    """Returns a moment in ms, full seconds; 0 for none."""
+    return int(moment.astimezone(UTC).timestamp()) * 1000 if moment is not None else 0
--- a/brookreach/gang_scheduling/migration.py
+++ b/brookreach/gang_scheduling/migration.py
@@ -1,191 +1,201 @@
-"""What a running gang does next about its checkpoints and the notices on its nodes. Pure: facts in, one
-step out.
+"""What a running gang does next about its checkpoints and the notices on its nodes: facts in, one step out.
 
-It owns when to checkpoint, which members leave, and when it is better to go back to the last checkpoint. It
-must never start to leave a node that stands without a permit, nor ask for a checkpoint that can't end in
-time where the work it would keep is to be lost with a node anyway.
+It owns when to checkpoint, which members leave, and when it is better to go back to the last checkpoint. It must never
+start to leave a node that stands without a permit, nor ask for a checkpoint that can't end in time where the work it
+would save is to be lost with a node anyway.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping, Sequence
+from collections.abc import Sequence
 from dataclasses import dataclass
-from typing import Literal
+from enum import Enum
 
-from brookreach.disruption.tables import NodeRow
+from brookreach.gang_scheduling.running_gang import MemberOnNode, MoveConditions, RunningGang
 from brookreach.gang_scheduling.tables import GangRow
 
-AHEAD_MS = 1_800_000  # a notice farther off than this waits for the next checkpoint that is due anyway
-DRAIN_MS = 60_000  # what a node that drains is taken to stand for, from then on
-HOLD_MS = 5_000  # the least that permits given are held for others that are not; else what a move costs
-SPARE_MS = 2_000  # between the end of a checkpoint and the node's
+NOTICE_HORIZON_MS = 1_800_000  # a notice farther off than this waits for the next checkpoint that is due anyway
+HORIZON_PER_MOVE_COST = 8  # or than so many times what a move costs
+PERMIT_HOLD_MS = 5_000  # the least that granted permits are held for others that are not; else what a move costs
+MARGIN_MS = 2_000  # between the end of a checkpoint and the node's
+MAX_URGENCY = 9
 
-Act = Literal["go on", "ask", "save", "leave", "go back"]
 
+class StepKind(Enum):
+    """What a running gang does next."""
 
-@dataclass(frozen=True, slots=True)
-class MemberOnNode:
-    """Where one member works, and when that node will not be there (0: it stays)."""
-
-    number: int
-    node: str
-    leave_ms: int
-
-
-@dataclass(frozen=True, slots=True)
-class RunningGang:
-    """A running gang at one moment."""
-
-    now: int
-    left_ms: int  # work to do
-    finish_ms: int  # when it could be done, where it is
-    unsaved_ms: int  # work since the last whole checkpoint
-    asked_ms: int  # when the last checkpoint was asked for
-    cost_ms: int
-    load_ms: int
-    interval_ms: int
-    asked: bool = False  # permits are asked for already
-    gang: str = ""
+    CONTINUE = "continue"
+    REQUEST_PERMITS = "request permits"
+    CHECKPOINT = "checkpoint"
+    CHECKPOINT_AND_MOVE = "checkpoint and move"  # then the movers go
+    RESTORE = "restore"  # the movers go now, the gang goes back to its last epoch
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """`leave`: checkpoint, then the movers go. `go back`: the movers go now, the gang to its last epoch."""
+    """A decision, which holds until `wake_ms`."""
 
-    act: Act
+    kind: StepKind
     movers: tuple[int, ...]
     wake_ms: int
     reason: str
 
 
-def departure_ms(row: NodeRow | None, now: int) -> int:
-    """When a node will not be there for work that runs on it; 0: no such time is known. `down` is what
-    marshals see: the agent's session says whether work goes on there.
-    """
-    if row is None or row.standing == "gone":
-        return now
-    drains = row.since_ms + DRAIN_MS if row.standing == "draining" else 0
-    told = [at for at in (drains, row.retires_ms) if at]
-    return min(told) if told else 0
+class _WakeTimes:
+    """Moments at which the decision may be another one."""
 
+    def __init__(self, *moments_ms: int) -> None:
+        self._moments_ms = list(moments_ms)
 
-def needs_permit(row: NodeRow | None, now: int) -> bool:
-    """Not off a node that is out already: gone, past its time, or drained (which has a permit of its own)."""
-    if row is None or row.standing in ("gone", "draining"):
-        return False
-    return not row.retires_ms or row.retires_ms > now
+    def add(self, *moments_ms: int) -> None:
+        self._moments_ms += moments_ms
 
+    def first_after(self, now_ms: int, default_ms: int) -> int:
+        return min((moment_ms for moment_ms in self._moments_ms if moment_ms > now_ms), default=default_ms)
 
-def save_by_ms(leave_ms: int, cost_ms: int) -> int:
-    """The last moment to ask for a checkpoint that ends before the node does."""
-    return leave_ms - cost_ms - SPARE_MS - cost_ms // 4
 
+def latest_checkpoint_ms(departure_ms: int, cost_ms: int) -> int:
+    """Returns the last moment to request a checkpoint that ends before the node does."""
+    return departure_ms - cost_ms - MARGIN_MS - cost_ms // 4
 
-def begin_ms(sight: RunningGang, leave_ms: int) -> int:
-    """From when on it tries to leave: far from the notice only together with a checkpoint that is due
-    anyway.
-    """
-    ahead = max(AHEAD_MS, 8 * (sight.cost_ms + sight.load_ms))
-    due = sight.now + max(0, sight.interval_ms - sight.unsaved_ms)
-    return max(sight.now, min(due, leave_ms - ahead))
-
-
-def decide(
-    sight: RunningGang,
-    posts: Sequence[MemberOnNode],
-    given_ms: Mapping[str, int],
-    room: Callable[[tuple[int, ...]], bool],
-    free_to_go: Callable[[str], bool],
-) -> Step:
-    """`given_ms`: permits that are given, by node; `free_to_go`: nodes that need none; `room`: is there
-    any for these members elsewhere.
+
+def earliest_move_ms(gang: RunningGang, departure_ms: int) -> int:
+    """Returns from when on the gang tries to leave.
+
+    Long before the departure it does so only together with a checkpoint that is due anyway.
     """
-    due = sight.now + max(0, sight.interval_ms - sight.unsaved_ms)
+    horizon_ms = max(NOTICE_HORIZON_MS, HORIZON_PER_MOVE_COST * gang.move_cost_ms)
+    return max(gang.now_ms, min(gang.checkpoint_due_ms, departure_ms - horizon_ms))
+
+
+def decide(gang: RunningGang, members: Sequence[MemberOnNode], conditions: MoveConditions) -> Step:
+    """Returns what the gang does next."""
+    now_ms = gang.now_ms
     leaving = sorted(
-        (one for one in posts if one.leave_ms and one.leave_ms < sight.finish_ms),
-        key=lambda one: (one.leave_ms, one.number),
+        (member for member in members if member.departure_ms and member.departure_ms < gang.end_ms),
+        key=lambda member: (member.departure_ms, member.number),
     )
-    if leaving and leaving[0].leave_ms <= sight.now:
-        over = tuple(one.number for one in leaving if one.leave_ms <= sight.now)
-        nodes = ", ".join(dict.fromkeys(one.node for one in leaving if one.leave_ms <= sight.now))
-        return Step("go back", over, sight.now, f"{nodes} out: back to the last checkpoint")
-    if sight.left_ms <= 0:
-        return Step("save", (), sight.now, "last checkpoint: all work is done")
-    wake = [due, sight.now + sight.left_ms]
+    departed = [member for member in leaving if member.departure_ms <= now_ms]
+    if departed:
+        nodes = ", ".join(dict.fromkeys(member.node for member in departed))
+        return Step(StepKind.RESTORE, _numbers(departed), now_ms, f"{nodes} out: back to the last checkpoint")
+    if gang.remaining_ms <= 0:
+        return Step(StepKind.CHECKPOINT, (), now_ms, "last checkpoint: all work is done")
+    wake = _WakeTimes(gang.checkpoint_due_ms, now_ms + gang.remaining_ms)
     if leaving:
-        step = _leave(sight, leaving, given_ms, room, free_to_go, wake)
-        overdue = sight.unsaved_ms >= sight.interval_ms + HOLD_MS and sight.left_ms > sight.interval_ms // 2
-        if step is not None and not (step.act == "ask" and overdue):
+        step = _react_to_notices(gang, leaving, conditions, wake)
+        is_overdue = gang.unsaved_ms >= gang.interval_ms + PERMIT_HOLD_MS and gang.is_checkpoint_worthwhile
+        if step is not None and not (step.kind == StepKind.REQUEST_PERMITS and is_overdue):
             return step
-    if due <= sight.now and sight.left_ms > sight.interval_ms // 2:
-        return Step("save", (), sight.now, f"checkpoint after {sight.unsaved_ms} ms of work")
-    later = [at for at in wake if at > sight.now]
-    return Step("go on", (), min(later) if later else sight.now + sight.cost_ms, "")
-
-
-def _leave(
-    sight: RunningGang,
-    leaving: Sequence[MemberOnNode],
-    given_ms: Mapping[str, int],
-    room: Callable[[tuple[int, ...]], bool],
-    free_to_go: Callable[[str], bool],
-    wake: list[int],
+    if gang.checkpoint_due_ms <= now_ms and gang.is_checkpoint_worthwhile:
+        return Step(StepKind.CHECKPOINT, (), now_ms, f"checkpoint after {gang.unsaved_ms} ms of work")
+    return Step(StepKind.CONTINUE, (), wake.first_after(now_ms, now_ms + gang.checkpoint_cost_ms), "")
+
+
+@dataclass(frozen=True, slots=True)
+class _Movers:
+    """Members that are to leave, those of them that may now, and why."""
+
+    wanted: tuple[int, ...]
+    permitted: tuple[int, ...]
+    reason: str
+
+
+def _react_to_notices(
+    gang: RunningGang, leaving: Sequence[MemberOnNode], conditions: MoveConditions, wake: _WakeTimes
 ) -> Step | None:
-    """A step because of notices; None: not yet, `wake` says when to look again."""
-    now, first = sight.now, leaving[0]
-    save_by = save_by_ms(first.leave_ms, sight.cost_ms)
-    begin = begin_ms(sight, first.leave_ms)
-    wake += [begin, save_by, first.leave_ms]
-    movers: tuple[int, ...] = ()
-    why = f"{first.node} leaves at {first.leave_ms}"
-    if begin <= now or sight.asked:
-        movers = tuple(one.number for one in leaving)  # all at once: a later move would cost as much again
-        hold = 0 if save_by - SPARE_MS <= now else max(HOLD_MS, sight.cost_ms + sight.load_ms)
-        may = _may_go(leaving, given_ms, free_to_go, now - hold)
-        waits = sight.asked and not may  # then nothing is looked for
-        if not waits and not room(may or movers):
-            must = first.leave_ms + sight.cost_ms + sight.load_ms + SPARE_MS
-            movers = tuple(one.number for one in leaving if one.leave_ms <= must)
-            may = tuple(one for one in may if one in movers)
-            if not room(may or movers):
-                movers, may, why = (), (), f"{why}; no room for it elsewhere"
-        if may and now <= save_by:
-            return Step("leave", may, now, f"{why}: checkpoint, then members {_told(may)} move")
-        if may:
-            return Step("go back", may, now, f"{why}, before a checkpoint could end: back to the last one")
-    kept = save_by - sight.cost_ms - SPARE_MS <= sight.asked_ms
-    if save_by <= now <= first.leave_ms - sight.cost_ms and not kept and sight.unsaved_ms > sight.cost_ms:
-        return Step("save", (), now, f"{why}, no leave to move yet: checkpoint while it stands")
-    if movers:
-        wake.append(now + HOLD_MS)
-        return Step("ask", movers, min(at for at in wake if at > now), f"{why}: asks to move")
+    """Returns a step because of notices; None: not yet, `wake` says when to decide again."""
+    now_ms, first = gang.now_ms, leaving[0]
+    checkpoint_by_ms = latest_checkpoint_ms(first.departure_ms, gang.checkpoint_cost_ms)
+    move_from_ms = earliest_move_ms(gang, first.departure_ms)
+    wake.add(move_from_ms, checkpoint_by_ms, first.departure_ms)
+    movers = _Movers((), (), f"{first.node} leaves at {first.departure_ms}")
+    if move_from_ms <= now_ms or gang.has_permits:
+        movers = _choose_movers(gang, leaving, conditions, checkpoint_by_ms)
+    why = movers.reason
+    if movers.permitted and now_ms <= checkpoint_by_ms:
+        numbers = ", ".join(str(number) for number in movers.permitted)
+        reason = f"{why}: checkpoint, then members {numbers} move"
+        return Step(StepKind.CHECKPOINT_AND_MOVE, movers.permitted, now_ms, reason)
+    if movers.permitted:
+        reason = f"{why}, before a checkpoint could end: back to the last one"
+        return Step(StepKind.RESTORE, movers.permitted, now_ms, reason)
+    if _should_save_before_departure(gang, first.departure_ms, checkpoint_by_ms):
+        reason = f"{why}, no leave to move yet: checkpoint while it stands"
+        return Step(StepKind.CHECKPOINT, (), now_ms, reason)
+    if movers.wanted:
+        retry_ms = now_ms + PERMIT_HOLD_MS
+        wake.add(retry_ms)
+        wake_ms = wake.first_after(now_ms, retry_ms)
+        return Step(StepKind.REQUEST_PERMITS, movers.wanted, wake_ms, f"{why}: asks to move")
     return None
 
 
-def _may_go(
-    movers: Sequence[MemberOnNode], given_ms: Mapping[str, int], free_to_go: Callable[[str], bool], before: int
+def _choose_movers(
+    gang: RunningGang, leaving: Sequence[MemberOnNode], conditions: MoveConditions, checkpoint_by_ms: int
+) -> _Movers:
+    """Chooses who leaves: all at once where there is capacity, as a later move would cost as much again."""
+    first = leaving[0]
+    why = f"{first.node} leaves at {first.departure_ms}"
+    is_last_moment = checkpoint_by_ms - MARGIN_MS <= gang.now_ms
+    hold_ms = 0 if is_last_moment else max(PERMIT_HOLD_MS, gang.move_cost_ms)
+    wanted = _numbers(leaving)
+    permitted = _permitted_members(leaving, conditions, gang.now_ms - hold_ms)
+    waits_for_permits = gang.has_permits and not permitted
+    if waits_for_permits or conditions.has_capacity_elsewhere(permitted or wanted):
+        return _Movers(wanted, permitted, why)
+    must_leave_by_ms = first.departure_ms + gang.move_cost_ms + MARGIN_MS
+    wanted = _numbers([member for member in leaving if member.departure_ms <= must_leave_by_ms])
+    permitted = tuple(number for number in permitted if number in wanted)
+    if conditions.has_capacity_elsewhere(permitted or wanted):
+        return _Movers(wanted, permitted, why)
+    return _Movers((), (), f"{why}; no room for it elsewhere")
+
+
+def _permitted_members(
+    movers: Sequence[MemberOnNode], conditions: MoveConditions, granted_before_ms: int
 ) -> tuple[int, ...]:
-    """All of them once all may; those that may, where the others have kept them waiting since `before`."""
-    may = [one for one in movers if free_to_go(one.node) or one.node in given_ms]
-    if len(may) == len(movers):
-        return tuple(one.number for one in may)
-    held = [given_ms[one.node] for one in may if one.node in given_ms]
-    if may and (not held or min(held) <= before):
-        return tuple(one.number for one in may)
+    """Returns all movers once all may go.
+
+    Else it returns those that may, where the others have kept them waiting since `granted_before_ms`.
+    """
+    granted_ms = conditions.granted_ms
+    permitted = [member for member in movers if not conditions.needs_permit(member.node) or member.node in granted_ms]
+    if len(permitted) == len(movers):
+        return _numbers(permitted)
+    held_since = [granted_ms[member.node] for member in permitted if member.node in granted_ms]
+    if permitted and (not held_since or min(held_since) <= granted_before_ms):
+        return _numbers(permitted)
     return ()
 
 
-def _told(numbers: Sequence[int]) -> str:
-    return ", ".join(str(one) for one in numbers)
+def _should_save_before_departure(gang: RunningGang, departure_ms: int, checkpoint_by_ms: int) -> bool:
+    """Returns whether to save the work once, as late as a checkpoint can still end."""
+    saved_from_ms = checkpoint_by_ms - gang.checkpoint_cost_ms - MARGIN_MS
+    was_saved = saved_from_ms <= gang.checkpoint_requested_ms
+    is_time = checkpoint_by_ms <= gang.now_ms <= departure_ms - gang.checkpoint_cost_ms
+    return is_time and not was_saved and gang.unsaved_ms > gang.checkpoint_cost_ms
+
+
+def _numbers(members: Sequence[MemberOnNode]) -> tuple[int, ...]:
+    return tuple(member.number for member in members)
+
 
+def permit_urgency(row: GangRow, gang: RunningGang, departure_ms: int) -> int:
+    """Returns 0 to `MAX_URGENCY`.
 
-def urgency(row: GangRow, sight: RunningGang, leave_ms: int) -> int:
-    """0 to 9 for a permit: how soon the node goes beside what a move takes, and what is lost if it goes
-    first: the deadline, or more work than a move costs.
+    It grows with how soon the node goes beside what a move takes, and with what is lost if it goes first: the deadline,
+    or more work than a move costs.
     """
-    span = sight.cost_ms + sight.load_ms
-    slack = save_by_ms(leave_ms, sight.cost_ms) - sight.now
-    first = 6 if slack <= 4 * span else 4 if slack <= 16 * span else 2
-    stake = sight.unsaved_ms + max(0, leave_ms - sight.now)
-    missed = bool(row.deadline_ms) and sight.finish_ms <= row.deadline_ms < sight.finish_ms + stake + span
-    return min(9, first + (2 if missed else 0) + (1 if stake > 4 * span else 0))
+    slack_ms = latest_checkpoint_ms(departure_ms, gang.checkpoint_cost_ms) - gang.now_ms
+    by_time = 2
+    if slack_ms <= 4 * gang.move_cost_ms:
+        by_time = 6
+    elif slack_ms <= 16 * gang.move_cost_ms:
+        by_time = 4
+    at_stake_ms = gang.unsaved_ms + max(0, departure_ms - gang.now_ms)
+    end_if_lost_ms = gang.end_ms + at_stake_ms + gang.move_cost_ms
+    misses_deadline = bool(row.deadline_ms) and gang.end_ms <= row.deadline_ms < end_if_lost_ms
+    by_deadline = 2 if misses_deadline else 0
+    by_stake = 1 if at_stake_ms > 4 * gang.move_cost_ms else 0
+    return min(MAX_URGENCY, by_time + by_deadline + by_stake)
--- a/brookreach/gang_scheduling/placement.py
+++ b/brookreach/gang_scheduling/placement.py
@@ -1,208 +1,171 @@
-"""Which nodes have room for a gang, all of it or none. Pure: reads the agreed rows, reserves nothing
-itself.
+"""The capacity of all nodes at one moment, and which nodes may be targets. Reads rows, changes none.
 
-A target is ready and warm, its agent's session stands, and it does not retire before the gang could be
-done, or within HORIZON_MS; a later notice is taken only where nothing else is. Builds on trial take no more
-than their stage's cap of all room that gangs hold. It must never offer a node beyond that, nor the same
-room twice.
+A target is ready and warm, its agent's session stands, and it does not retire before the gang could be done, or
+within `HORIZON_MS`; `node_search` takes one that retires later only where there is nothing else. Builds on trial take
+no more than their stage's cap of all capacity that gangs hold. No capacity must ever be offered twice.
 """
 
 from __future__ import annotations
 
-from collections.abc import Sequence
+from collections.abc import Iterator
 from dataclasses import dataclass
 
 from sortedcontainers import SortedKeyList
 
 from brookreach.coordination.state_machine.application import View
 from brookreach.disruption.tables import NODES, RELEASES, NodeRow
-from brookreach.gang_scheduling.tables import AGENTS, RESERVED_CAPACITY, GangRow
+from brookreach.gang_scheduling.tables import AGENTS, RESERVED_CAPACITY, AgentRow, GangRow, ReservedCapacityRow
 
 HORIZON_MS = 6 * 3_600_000
-ON_TRIAL = ("waiting", "on", "halted", "going back", "sent back")
+THOUSANDTHS = 1000
+TRIAL_STATES = ("waiting", "on", "halted", "going back", "sent back")
 
 
 @dataclass(slots=True)
 class NodeCapacity:
-    """One node that may be a target."""
+    """One node that may be a target. Defects and baselines make it by position."""
 
     node: str
-    life: int
+    node_incarnation: int
     zone: str
     build: int
-    room: int  # free
-    retires_ms: int
+    free: int
+    retires_ms: int  # 0: no notice
 
 
-def is_schedulable(row: NodeRow | None, now: int, until: int) -> bool:
-    """Is it a fit place for work that ends at `until`? Room and agents are not looked at."""
-    if row is None or row.standing != "ready" or row.warm_ms > now:
+@dataclass(frozen=True, slots=True)
+class EmptyClusterCapacity:
+    """What the nodes of a gang's zones and builds would hold if nothing else ran."""
+
+    members: int
+    nodes: int  # that have capacity for any member
+
+
+def is_schedulable(row: NodeRow | None, now_ms: int, end_ms: int) -> bool:
+    """Returns whether a node is fit for work that ends at `end_ms`; capacity and agents are not looked at."""
+    if row is None or row.standing != "ready" or row.warm_ms > now_ms:
         return False
-    return not row.retires_ms or row.retires_ms > min(until, now + HORIZON_MS)
+    return not row.retires_ms or row.retires_ms > min(end_ms, now_ms + HORIZON_MS)
 
 
-def allowed(row: GangRow, zone: str, build: int) -> bool:
+def is_allowed(row: GangRow, zone: str, build: int) -> bool:
+    """Returns whether the operator allows the gang to run on nodes of this zone and build."""
     return (not row.zones or zone in row.zones) and (not row.builds or build in row.builds)
 
 
 def trial_caps(view: View) -> dict[int, int]:
-    """By build on trial, thousandths of all held room that may stand on it. Sent back or halted: none."""
+    """Returns for each build on trial how many thousandths of all reserved capacity may stand on it.
+
+    It is none where the release waits, is halted or was sent back.
+    """
     caps = {}
     for _, row in view.rows(RELEASES):
-        if row.state in ON_TRIAL:
-            open_now = row.state == "on" and 0 < row.stage <= len(row.caps)
-            caps[row.build] = row.caps[row.stage - 1] if open_now else 0
+        if row.state in TRIAL_STATES:
+            is_open = row.state == "on" and 0 < row.stage <= len(row.caps)
+            caps[row.build] = row.caps[row.stage - 1] if is_open else 0
     return caps
 
 
-class CapacityIndex:
-    """All targets of one moment, from one reading of the nodes; what is taken from it is gone from it."""
+def empty_cluster_capacity(view: View, row: GangRow) -> EmptyClusterCapacity:
+    """Returns how many of the gang's members would fit if nothing else ran."""
+    members = nodes = 0
+    for _, node in view.rows(NODES):
+        if node.standing != "gone" and is_allowed(row, node.zone, node.build):
+            members += node.room // row.member_capacity
+            nodes += node.room >= row.member_capacity
+    return EmptyClusterCapacity(members, nodes)
+
+
+class NodeGroup:
+    """The nodes of one zone and build that have no notice, by their free capacity."""
+
+    def __init__(self, zone: str, build: int) -> None:
+        self.zone = zone
+        self.build = build
+        self._nodes: SortedKeyList[NodeCapacity] = SortedKeyList(key=lambda node: (node.free, node.node))
+
+    def add(self, node: NodeCapacity) -> None:
+        """Adds a node; its free capacity must not change before `remove`."""
+        self._nodes.add(node)
+
+    def remove(self, node: NodeCapacity) -> None:
+        """Removes a node."""
+        self._nodes.remove(node)
+
+    def ascending_from(self, free: int) -> Iterator[NodeCapacity]:
+        """Returns the nodes with at least so much free, the tightest first."""
+        return iter(self._nodes.islice(self._first_with(free)))
 
-    def __init__(self, view: View, now: int):
-        self.now, self.caps = now, trial_caps(view)
-        self.all = 0  # room held by gangs
-        self.on = dict.fromkeys(self.caps, 0)  # and on builds on trial
+    def descending_below(self, free: int) -> Iterator[NodeCapacity]:
+        """Returns the nodes with less free, the largest first."""
+        return iter(self._nodes.islice(0, self._first_with(free), reverse=True))
+
+    def _first_with(self, free: int) -> int:
+        return int(self._nodes.bisect_key_left((free, "")))
+
+
+class CapacityIndex:
+    """All targets of one moment, from one reading of the nodes; what is taken from it is gone from it.
+
+    Attributes:
+        total_reserved: Capacity that gangs hold on all nodes.
+        nodes: Targets by name.
+        groups: Targets without a notice, by zone and build.
+        retiring: Targets with a notice, the latest first.
+    """
+
+    def __init__(self, view: View, now_ms: int) -> None:
+        self.now_ms = now_ms
+        self.total_reserved = 0
         self.nodes: dict[str, NodeCapacity] = {}
-        self.groups: dict[tuple[str, int], SortedKeyList] = {}  # without notice, by zone and build
-        self.leaving: list[NodeCapacity] = []  # with a notice
+        self.groups: dict[tuple[str, int], NodeGroup] = {}
+        self.retiring: list[NodeCapacity] = []
+        self._trial_caps = trial_caps(view)
+        self._reserved_on_trial = dict.fromkeys(self._trial_caps, 0)
         for name, row in view.rows(NODES):
-            taken = view.get(RESERVED_CAPACITY, name)
-            used = taken.taken if taken else 0
-            self.all += used
-            if row.build in self.on:
-                self.on[row.build] += used
-            hand = view.get(AGENTS, name)
-            if hand is None or not hand.session or hand.life != row.life or not is_schedulable(row, now, now):
-                continue
-            free = NodeCapacity(name, row.life, row.zone, row.build, row.room - used, row.retires_ms)
-            self.nodes[name] = free
-            if free.retires_ms:
-                self.leaving.append(free)
-            else:
-                group = self.groups.setdefault(
-                    (free.zone, free.build), SortedKeyList(key=lambda one: (one.room, one.node))
-                )
-                group.add(free)
-        self.leaving.sort(key=lambda one: (-one.retires_ms, one.node))
-
-    def take(self, node: str, room: int) -> None:
-        """Room that is held from now on; negative: given back."""
-        self.all += room
-        free = self.nodes.get(node)
-        if free is None:
+            self._add_node(view, name, row)
+        self.retiring.sort(key=lambda node: (-node.retires_ms, node.node))
+
+    def _add_node(self, view: View, name: str, row: NodeRow) -> None:
+        held: ReservedCapacityRow | None = view.get(RESERVED_CAPACITY, name)
+        reserved = held.reserved if held else 0
+        self.total_reserved += reserved
+        if row.build in self._reserved_on_trial:
+            self._reserved_on_trial[row.build] += reserved
+        agent: AgentRow | None = view.get(AGENTS, name)
+        if agent is None or not agent.session or agent.node_incarnation != row.life:
+            return
+        if not is_schedulable(row, self.now_ms, self.now_ms):
+            return
+        node = NodeCapacity(name, row.life, row.zone, row.build, row.room - reserved, row.retires_ms)
+        self.nodes[name] = node
+        if node.retires_ms:
+            self.retiring.append(node)
             return
-        if free.build in self.on:
-            self.on[free.build] += room
-        group = None if free.retires_ms else self.groups[free.zone, free.build]
-        if group is not None:
-            group.remove(free)
-        free.room -= room
-        if group is not None:
-            group.add(free)
-
-    def under_cap(self, build: int, room: int, more: int) -> bool:
-        """With `room` of it besides, and `more` in all."""
-        if build not in self.caps:
+        key = node.zone, node.build
+        if key not in self.groups:
+            self.groups[key] = NodeGroup(node.zone, node.build)
+        self.groups[key].add(node)
+
+    def take(self, name: str, capacity: int) -> None:
+        """Reserves capacity on a node, which may be no target; a negative one is given back."""
+        self.total_reserved += capacity
+        node = self.nodes.get(name)
+        if node is None:
+            return
+        if node.build in self._reserved_on_trial:
+            self._reserved_on_trial[node.build] += capacity
+        if node.retires_ms:
+            node.free -= capacity
+            return
+        group = self.groups[node.zone, node.build]
+        group.remove(node)
+        node.free -= capacity
+        group.add(node)
+
+    def is_under_trial_cap(self, build: int, added_to_build: int, added_in_all: int) -> bool:
+        """Returns whether a build keeps to its cap with so much more on it, and so much more in all."""
+        if build not in self._trial_caps:
             return True
-        return (self.on[build] + room) * 1000 <= self.caps[build] * (self.all + more)
-
-    def fit(
-        self, row: GangRow, count: int, until: int, zones: Sequence[str] = (), but: Sequence[str] = ()
-    ) -> list[NodeCapacity] | None:
-        """A node for each of `count` members, few nodes and the tightest; None: there is no room for all.
-
-        `zones` narrows the row's own; `but` names nodes that are no targets.
-        """
-        found: list[NodeCapacity] = []
-        used: dict[str, int] = {}
-        trial: dict[int, int] = {}
-        groups = [
-            (place, group)
-            for place, group in sorted(self.groups.items())
-            if allowed(row, *place) and (not zones or place[0] in zones)
-        ]
-        while len(found) < count:
-            best = self._best(row, count - len(found), groups, used, trial, but, len(found))
-            if best is None:
-                best = self._late(row, until, zones, used, trial, but, len(found))
-            if best is None:
-                return None
-            free = best
-            fits = min(count - len(found), (free.room - used.get(free.node, 0)) // row.room)
-            while fits > 1 and not self._under(row, free, fits, trial, len(found)):
-                fits -= 1
-            found += [free] * fits
-            used[free.node] = used.get(free.node, 0) + fits * row.room
-            trial[free.build] = trial.get(free.build, 0) + fits * row.room
-        return found
-
-    def _under(self, row: GangRow, free: NodeCapacity, fits: int, trial: dict[int, int], placed: int) -> bool:
-        there = trial.get(free.build, 0) + fits * row.room
-        return self.under_cap(free.build, there, (placed + fits) * row.room)
-
-    def _best(
-        self,
-        row: GangRow,
-        left: int,
-        groups: list,
-        used: dict[str, int],
-        trial: dict[int, int],
-        but: Sequence[str],
-        placed: int,
-    ) -> NodeCapacity | None:
-        """The smallest room that takes all that is left; else the largest there is."""
-        best: tuple[tuple[int, int, str], NodeCapacity] | None = None
-        for _, group in groups:
-            at = group.bisect_key_left((left * row.room, ""))
-            found = next((one for one in group.islice(at) if _open(one, used, but)), None)
-            whole = found is not None
-            if found is None:
-                lesser = group.islice(0, at, reverse=True)
-                found = next((one for one in lesser if _open(one, used, but)), None)
-            if found is None or found.room < row.room or not self._under(row, found, 1, trial, placed):
-                continue
-            key = (0 if whole else 1, found.room if whole else -found.room, found.node)
-            if best is None or key < best[0]:
-                best = key, found
-        return None if best is None else best[1]
-
-    def _late(
-        self,
-        row: GangRow,
-        until: int,
-        zones: Sequence[str],
-        used: dict[str, int],
-        trial: dict[int, int],
-        but: Sequence[str],
-        placed: int,
-    ) -> NodeCapacity | None:
-        """Where nothing else is: the one whose notice lies farthest off, still past `until` or the
-        horizon.
-        """
-        least = min(until, self.now + HORIZON_MS)
-        for one in self.leaving:
-            if one.retires_ms <= least:
-                return None
-            if (
-                _open(one, used, but)
-                and one.room >= row.room
-                and allowed(row, one.zone, one.build)
-                and (not zones or one.zone in zones)
-                and self._under(row, one, 1, trial, placed)
-            ):
-                return one
-        return None
-
-
-def ever(view: View, row: GangRow) -> tuple[int, int]:
-    """Members that would fit if nothing else ran, and the nodes that have room for any: for Submit."""
-    places = nodes = 0
-    for _, node in view.rows(NODES):
-        if node.standing != "gone" and allowed(row, node.zone, node.build):
-            places += node.room // row.room
-            nodes += node.room >= row.room
-    return places, nodes
-
-
-def _open(one: NodeCapacity, used: dict[str, int], but: Sequence[str]) -> bool:
-    return one.node not in used and one.node not in but
+        on_build = self._reserved_on_trial[build] + added_to_build
+        return on_build * THOUSANDTHS <= self._trial_caps[build] * (self.total_reserved + added_in_all)
--- a/brookreach/gang_scheduling/queue.py
+++ b/brookreach/gang_scheduling/queue.py
@@ -1,124 +1,191 @@
-"""Who of the waiting is placed, in which order, and who may go first without keeping another waiting longer.
+"""Which waiting gangs are placed, in which order, and which may go first without keeping another waiting longer.
 
-It owns the rounds of placing. The first in order that has no room is promised the room that will be free by
-the time when enough others have ended; whoever comes after it runs only beside that, or ends before. It must
-never place a gang in part, nor let one that came later push that promise back.
+It owns the rounds of placement. The first in order for which there is no capacity is promised what will be free by the
+time when enough others have ended; whoever comes after it runs only beside that, or ends before. It must never place a
+gang in part, nor let one that came later push that promise back.
 """
 
 from __future__ import annotations
 
+from collections import defaultdict
 from collections.abc import Callable
+from dataclasses import dataclass, field
 
-from brookreach.gang_scheduling import transitions
-from brookreach.gang_scheduling.placement import CapacityIndex, allowed
+from brookreach.gang_scheduling import estimates, transitions
+from brookreach.gang_scheduling.gang_state import GangState
+from brookreach.gang_scheduling.node_search import PlacementRequest, find_nodes
+from brookreach.gang_scheduling.placement import CapacityIndex, NodeCapacity, is_allowed
 from brookreach.gang_scheduling.tables import QUEUE, SLOTS, GangRow
 from brookreach.gang_scheduling.transaction import Transaction
 
-ROUND_MS = 5_000  # while anybody waits
+ROUND_INTERVAL_MS = 5_000  # while any gang waits
+MINUTE_MS = 60_000
+OCCUPYING_STATES = (GangState.PLACING, GangState.RUNNING, GangState.CHECKPOINTING, GangState.MOVING)
 
-Prefer = Callable[[Transaction, str, GangRow], "tuple[tuple[str, ...], int]"]
-"""Zones that a flexible gang is to run in (none: any), and from when on."""
 
+@dataclass(frozen=True, slots=True)
+class PlacementPreference:
+    """Where and from when on a gang is to begin; no zones: any."""
 
-def place_waiting(desk: Transaction, prefer: Prefer | None = None) -> None:
-    """One round, at most one reading of the nodes more where somebody has to be promised room."""
-    desk.round_over()
-    promise: Promise | None = None
-    waits = 0
-    for key, _ in list(desk.draft.rows(QUEUE)):
-        name = key.partition("/")[2]
-        row = desk.gang(name)
-        zones, begin = prefer(desk, name, row) if prefer is not None and row.flexible else ((), desk.now)
-        if begin > desk.now and row.latest_ms > desk.now:
-            waits += 1
-            _told(desk, name, row, f"waits until {begin} for cleaner power")
-            continue
-        until = transitions.ends_ms(desk, row, load=True)
-        found = desk.stock.fit(row, row.members, until, zones)
-        if found is None and promise is not None and until <= promise.at_ms:
-            promise.lift(desk.stock)
-            found = desk.stock.fit(row, row.members, until, zones)
-            if found is not None:
-                transitions.place(desk, name, found)
-            promise.lay(desk.stock)
-        elif found is not None:
-            transitions.place(desk, name, found)
-        if found is not None:
-            continue
-        waits += 1
-        if promise is None:
-            promise = promised(desk, name, row)
-            _told(desk, name, row, _why(desk, row, promise))
-        else:
-            _told(desk, name, row, f"waits for room, behind {promise.name}")
-    if waits:
-        desk.round(desk.now + ROUND_MS)
-
-
-def _told(desk: Transaction, name: str, row: GangRow, reason: str) -> None:
-    if row.reason != reason:
-        desk.change(name, reason=reason)
-
-
-def _why(desk: Transaction, row: GangRow, promise: Promise) -> str:
-    """Words that do not change while nothing does."""
-    fits = sum(
-        max(0, free.room) // row.room
-        for free in desk.stock.nodes.values()
-        if allowed(row, free.zone, free.build) and not free.retires_ms
-    )
-    wants = f"waits for room: {row.members} members of {row.room} each, {fits} places on nodes that stay"
-    by = (promise.at_ms // 60_000 + 1) * 60_000  # in full minutes, so that the words stand still
-    return f"{wants}; room by {by}" if promise.spots else f"{wants}, and none by others' end"
+    zones: tuple[str, ...]
+    start_ms: int
 
 
+PreferPlacement = Callable[[Transaction, str, GangRow], PlacementPreference]
+
+
+@dataclass(slots=True)
 class Promise:
-    """Room kept for one gang: what is free of it now is taken from the stock, so that others plan beside
-    it.
+    """Capacity kept for one gang: what is free of it now is taken from the index, so that others plan beside it.
+
+    Attributes:
+        gang: The gang's name.
+        at_ms: When all of it will be free.
+        capacity_by_node: What the gang will take; nothing where others' end makes no room for it.
     """
 
-    def __init__(self, name: str, at_ms: int, spots: dict[str, int]):
-        self.name, self.at_ms, self.spots = name, at_ms, spots
-        self.kept: dict[str, int] = {}
+    gang: str
+    at_ms: int
+    capacity_by_node: dict[str, int] = field(default_factory=dict)
+    _kept: dict[str, int] = field(default_factory=dict)
 
-    def lay(self, stock: CapacityIndex) -> None:
-        for node, room in self.spots.items():
-            free = stock.nodes.get(node)
-            kept = min(room, max(0, free.room)) if free else 0
+    def keep(self, index: CapacityIndex) -> None:
+        """Takes what is free of it now from the index."""
+        for name, capacity in self.capacity_by_node.items():
+            node = index.nodes.get(name)
+            kept = min(capacity, max(0, node.free)) if node else 0
             if kept:
-                self.kept[node] = kept
-                stock.take(node, kept)
-
-    def lift(self, stock: CapacityIndex) -> None:
-        """For one that ends before the promise: it may have what is kept."""
-        for node, room in self.kept.items():
-            stock.take(node, -room)
-        self.kept = {}
-
-
-def _ends_ms(desk: Transaction, name: str) -> int:
-    """When its room is free: of one that is being stopped, soon."""
-    row = desk.gang(name)
-    active = row.state in ("placing", "running", "checkpointing", "moving")
-    return transitions.ends_ms(desk, row, load=False) if active else desk.now
-
-
-def promised(desk: Transaction, name: str, row: GangRow) -> Promise:
-    """When there will be room for it, if all that runs ends when it is expected to, and where."""
-    later = CapacityIndex(desk.draft, desk.now)
-    held: dict[str, list[tuple[str, int]]] = {}
-    for key, place in desk.draft.rows(SLOTS):
-        node, other, _ = key.split("/")
-        held.setdefault(other, []).append((node, place.room))
-    span = transitions.ends_ms(desk, row, load=True) - desk.now
-    for at, other in sorted((_ends_ms(desk, other), other) for other in held):
-        for node, room in held[other]:
-            later.take(node, -room)
-        found = later.fit(row, row.members, at + span)
+                self._kept[name] = kept
+                index.take(name, kept)
+
+    def lend(self, index: CapacityIndex) -> None:
+        """Gives what is kept back to the index, for a gang that ends before `at_ms`."""
+        for name, capacity in self._kept.items():
+            index.take(name, -capacity)
+        self._kept = {}
+
+
+def place_waiting(transaction: Transaction, prefer: PreferPlacement | None = None) -> None:
+    """Runs one round of placement; `prefer` is asked for flexible gangs."""
+    transaction.timers.finish_round()
+    placement_round = _PlacementRound(transaction)
+    for key, _ in list(transaction.changes.rows(QUEUE)):
+        name = key.partition("/")[2]
+        placement_round.visit(name, _preference(transaction, name, prefer))
+    if placement_round.has_waiting:
+        transaction.timers.schedule_round(transaction.now_ms + ROUND_INTERVAL_MS)
+
+
+def _preference(transaction: Transaction, name: str, prefer: PreferPlacement | None) -> PlacementPreference:
+    row = transaction.gang(name)
+    if prefer is None or not row.flexible:
+        return PlacementPreference((), transaction.now_ms)
+    return prefer(transaction, name, row)
+
+
+class _PlacementRound:
+    """One pass over the queue, in order."""
+
+    def __init__(self, transaction: Transaction) -> None:
+        self.has_waiting = False
+        self._transaction = transaction
+        self._promise: Promise | None = None
+
+    def visit(self, name: str, preference: PlacementPreference) -> None:
+        """Places a gang or notes why it waits."""
+        transaction = self._transaction
+        row = transaction.gang(name)
+        if preference.start_ms > transaction.now_ms and row.latest_start_ms > transaction.now_ms:
+            self._note_waiting(name, row, f"waits until {preference.start_ms} for cleaner power")
+            return
+        end_ms = estimates.expected_end_after_restore_ms(transaction, row)
+        request = PlacementRequest(row, row.member_count, end_ms, preference.zones)
+        if self._place(name, request):
+            return
+        if self._promise is not None:
+            self._note_waiting(name, row, f"waits for room, behind {self._promise.gang}")
+            return
+        self._promise = _promise_capacity(transaction, name, row)
+        self._note_waiting(name, row, _why_waiting(transaction, row, self._promise))
+
+    def _place(self, name: str, request: PlacementRequest) -> bool:
+        transaction = self._transaction
+        found = find_nodes(transaction.capacity, request)
+        if found is not None:
+            transitions.place(transaction, name, found)
+            return True
+        promise = self._promise
+        if promise is None or request.end_ms > promise.at_ms:
+            return False
+        promise.lend(transaction.capacity)
+        found = find_nodes(transaction.capacity, request)
         if found is not None:
-            promise = Promise(name, at, {})
-            for one in found:
-                promise.spots[one.node] = promise.spots.get(one.node, 0) + row.room
-            promise.lay(desk.stock)
+            transitions.place(transaction, name, found)
+        promise.keep(transaction.capacity)
+        return found is not None
+
+    def _note_waiting(self, name: str, row: GangRow, reason: str) -> None:
+        self.has_waiting = True
+        if row.reason != reason:
+            self._transaction.change_gang(name, reason=reason)
+
+
+def _why_waiting(transaction: Transaction, row: GangRow, promise: Promise) -> str:
+    """Returns a text that does not change while nothing does."""
+    fitting = sum(
+        max(0, node.free) // row.member_capacity
+        for node in transaction.capacity.nodes.values()
+        if is_allowed(row, node.zone, node.build) and not node.retires_ms
+    )
+    wanted = f"waits for room: {row.member_count} members of {row.member_capacity} each"
+    places = f"{wanted}, {fitting} places on nodes that stay"
+    if not promise.capacity_by_node:
+        return f"{places}, and none by others' end"
+    full_minute_ms = (promise.at_ms // MINUTE_MS + 1) * MINUTE_MS
+    return f"{places}; room by {full_minute_ms}"
+
+
+def _promise_capacity(transaction: Transaction, name: str, row: GangRow) -> Promise:
+    """Finds when there will be capacity if all that runs ends when it is expected to, and where."""
+    later = CapacityIndex(transaction.changes, transaction.now_ms)
+    reservations = _reservations_by_gang(transaction)
+    duration_ms = estimates.expected_end_after_restore_ms(transaction, row) - transaction.now_ms
+    for release_ms, other in sorted((_release_ms(transaction, other), other) for other in reservations):
+        for reservation in reservations[other]:
+            later.take(reservation.node, -reservation.capacity)
+        request = PlacementRequest(row, row.member_count, release_ms + duration_ms)
+        found = find_nodes(later, request)
+        if found is not None:
+            promise = Promise(name, release_ms, _capacity_by_node(row, found))
+            promise.keep(transaction.capacity)
             return promise
-    return Promise(name, desk.now, {})
+    return Promise(name, transaction.now_ms)
+
+
+@dataclass(frozen=True, slots=True)
+class _Reservation:
+    node: str
+    capacity: int
+
+
+def _reservations_by_gang(transaction: Transaction) -> dict[str, list[_Reservation]]:
+    reservations: dict[str, list[_Reservation]] = defaultdict(list)
+    for key, slot in transaction.changes.rows(SLOTS):
+        node, gang, _ = key.split("/")
+        reservations[gang].append(_Reservation(node, slot.capacity))
+    return reservations
+
+
+def _capacity_by_node(row: GangRow, found: list[NodeCapacity]) -> dict[str, int]:
+    capacity: dict[str, int] = defaultdict(int)
+    for node in found:
+        capacity[node.node] += row.member_capacity
+    return dict(capacity)
+
+
+def _release_ms(transaction: Transaction, name: str) -> int:
+    """Returns when a gang's capacity is free: of one that is being stopped, soon."""
+    row = transaction.gang(name)
+    if row.state not in OCCUPYING_STATES:
+        return transaction.now_ms
+    return estimates.expected_end_ms(transaction, row)
--- a/brookreach/gang_scheduling/reconcile.py
+++ b/brookreach/gang_scheduling/reconcile.py
@@ -1,193 +1,106 @@
-"""One gang looked at: what its state asks for now, by what its nodes, permits and members say. And its next
-time.
+"""Reconciles one gang: what its state asks for now, by its nodes, permits and members; and when it is reconciled next.
 
-It owns the order in which things are looked at. Looking twice at the same moment changes nothing the second
-time. It must never wait for more than LOOK_MS without a look at a gang that holds room.
+Reconciling twice at the same moment changes nothing the second time. A gang that holds capacity must never wait longer
+than `RECONCILE_INTERVAL_MS`.
 """
 
 from __future__ import annotations
 
-from brookreach.gang_scheduling import checkpoint_interval, checkpoints, migration, transitions
-from brookreach.gang_scheduling import members as seats
-from brookreach.gang_scheduling.disruption_permits import permit_name, permit_target
-from brookreach.gang_scheduling.migration import MemberOnNode, RunningGang, Step
-from brookreach.gang_scheduling.tables import GangRow
+from collections.abc import Iterable, Sequence
+
+from brookreach.gang_scheduling import checkpoints, estimates, members, recovery, transitions
+from brookreach.gang_scheduling.gang_state import GangState, MemberState
+from brookreach.gang_scheduling.node_search import PlacementRequest, find_nodes
+from brookreach.gang_scheduling.reconcile_running import reconcile_running
+from brookreach.gang_scheduling.tables import GangRow, MemberRow
 from brookreach.gang_scheduling.transaction import Transaction
 
-LAG_MS = 2000
-NOT_NOW = "a move is not wanted or possible any more"
-PERMIT_MS = 1000  # while permits are waited for; at full seconds: all that wait are looked at together
+MAX_STEPS = 6  # in one record
 
 
-def reconcile(desk: Transaction, name: str) -> None:
-    """Until its state stands still."""
-    for _ in range(6):
-        transitions.later_lives(desk, name)
-        row = desk.gang(name)
-        _by_state(desk, name, row)
-        if desk.draft.get("gangs", name) is None or desk.gang(name).state == row.state:
+def reconcile(transaction: Transaction, name: str) -> None:
+    """Takes steps until the gang's state stays as it is."""
+    for _ in range(MAX_STEPS):
+        recovery.handle_restarted_nodes(transaction, name)
+        state = transaction.gang(name).state
+        _reconcile_state(transaction, name)
+        row = transaction.find_gang(name)
+        if row is None or row.state == state:
             return
 
 
-def _by_state(desk: Transaction, name: str, row: GangRow) -> None:
-    if row.state == "running":
-        _running(desk, name, row)
-    elif row.state == "checkpointing":
-        checkpoints.look(desk, name)
-    elif row.state in ("placing", "moving"):
-        _gathering(desk, name, row)
-    elif row.state == "waiting":
-        desk.change(name, wake_ms=desk.next_look() if _living(desk, name) else 0)
-    else:
-        _ended(desk, name, row)
-
-
-def _living(desk: Transaction, name: str) -> list[str]:
-    """Nodes where something of it may work."""
-    spots = [seats.active_incarnation(member) for _, member in desk.members(name)]
-    return [one.node for one in spots if one is not None]
-
-
-def _ended(desk: Transaction, name: str, row: GangRow) -> None:
-    if _living(desk, name):
-        desk.change(name, wake_ms=desk.next_look())
-    elif desk.now >= row.since_ms + transitions.RETENTION_MS:
-        desk.remove(name)
+def _reconcile_state(transaction: Transaction, name: str) -> None:
+    match transaction.gang(name).state:
+        case GangState.RUNNING:
+            reconcile_running(transaction, name)
+        case GangState.CHECKPOINTING:
+            checkpoints.reconcile(transaction, name)
+        case GangState.PLACING | GangState.MOVING:
+            _reconcile_gathering(transaction, name)
+        case GangState.WAITING:
+            is_active = _has_active_members(transaction, name)
+            next_ms = transaction.timers.next_reconcile_ms() if is_active else 0
+            transaction.change_gang(name, reconcile_ms=next_ms)
+        case GangState.DONE | GangState.FAILED:
+            _reconcile_ended(transaction, name)
+
+
+def _has_active_members(transaction: Transaction, name: str) -> bool:
+    """Returns whether something of the gang may work anywhere."""
+    rows = transaction.members_of(name).values()
+    return any(members.active_incarnation(row) is not None for row in rows)
+
+
+def _reconcile_ended(transaction: Transaction, name: str) -> None:
+    remove_ms = transaction.gang(name).since_ms + transitions.RETENTION_MS
+    if _has_active_members(transaction, name):
+        transaction.change_gang(name, reconcile_ms=transaction.timers.next_reconcile_ms())
+    elif transaction.now_ms >= remove_ms:
+        transaction.remove_gang(name)
     else:
-        desk.change(name, wake_ms=row.since_ms + transitions.RETENTION_MS)
+        transaction.change_gang(name, reconcile_ms=remove_ms)
 
 
-def _gathering(desk: Transaction, name: str, row: GangRow) -> None:
-    """Placing or moving: until all run, within the stated time, and only to nodes that are still fit."""
-    members = desk.members(name)
-    missing = [number for number, one in members if one.state != "running"]
+def _reconcile_gathering(transaction: Transaction, name: str) -> None:
+    """Placing or moving: until all run, within the time limit, and only to nodes that are still fit."""
+    row = transaction.gang(name)
+    rows = transaction.members_of(name)
+    missing = [number for number, member in rows.items() if member.state != MemberState.RUNNING]
+    limit_ms = estimates.placement_limit_ms(row)
     if not missing:
-        transitions.run_on(desk, name, "all members run")
+        transitions.resume(transaction, name, "all members run")
         return
-    if desk.now >= transitions.limit_ms(row):
-        told = ", ".join(f"{one} on {members[one][1].node or 'no node'}" for one in missing)
-        span = desk.now - row.since_ms
-        transitions.to_waiting(desk, name, f"not whole after {span} ms, members {told}: all wait")
+    if transaction.now_ms >= limit_ms:
+        span_ms = transaction.now_ms - row.since_ms
+        where = ", ".join(f"{number} on {rows[number].node or 'no node'}" for number in missing)
+        reason = f"not whole after {span_ms} ms, members {where}: all wait"
+        transitions.return_to_queue(transaction, name, reason)
         return
-    until = transitions.ends_ms(desk, row, load=True)
-    unfit = [n for n in missing if not transitions.homely(desk, members[n][1], until)]
+    end_ms = estimates.expected_end_after_restore_ms(transaction, row)
+    unfit = [number for number in missing if not recovery.can_start_on_node(transaction, rows[number], end_ms)]
     if unfit:
-        _elsewhere(desk, name, row, unfit, until)
-    if desk.gang(name).state == row.state:
-        desk.change(name, wake_ms=min(transitions.limit_ms(row), desk.next_look()))
-
-
-def _elsewhere(desk: Transaction, name: str, row: GangRow, unfit: list[int], until: int) -> None:
-    """Nodes that they are on the way to have got a notice, drain or went: others, or where that can
-    wait, none.
-    """
-    spots, told = {}, []
-    but = tuple(sorted({desk.member(name, number).node for number in unfit} - {""}))
-    found = desk.stock.fit(row, len(unfit), until, but=but)
-    for nth, number in enumerate(unfit):
-        member = desk.member(name, number)
-        if found is not None:
-            spots[number] = found[nth].node, found[nth].life
-            told.append(f"{member.node} to {found[nth].node}")
-        elif not transitions.tolerable(desk, member):
-            why = f"{member.node or 'a target'} is out and there is no room elsewhere: all wait"
-            transitions.to_waiting(desk, name, why)
-            return
-    if spots:
-        transitions.set_out(desk, name, spots, row.state, f"targets that leave: {', '.join(told)}")
+        _redirect_members(transaction, name, row, unfit, end_ms)
+    if transaction.gang(name).state == row.state:
+        next_ms = min(limit_ms, transaction.timers.next_reconcile_ms())
+        transaction.change_gang(name, reconcile_ms=next_ms)
+
+
+def _redirect_members(transaction: Transaction, name: str, row: GangRow, unfit: Sequence[int], end_ms: int) -> None:
+    """Finds other nodes for members whose targets got a notice, drain or went; where that can wait, none."""
+    rows = {number: transaction.member(name, number) for number in unfit}
+    excluded = tuple(sorted({member.node for member in rows.values()} - {""}))
+    found = find_nodes(transaction.capacity, PlacementRequest(row, len(unfit), end_ms, excluded=excluded))
+    if found is not None:
+        moves = ", ".join(f"{rows[number].node} to {node.node}" for number, node in zip(unfit, found, strict=True))
+        targets = {number: transitions.target_of(node) for number, node in zip(unfit, found, strict=True)}
+        transitions.start_members(transaction, name, targets, row.state, f"targets that leave: {moves}")
+        return
+    stranded = _first_stranded(transaction, rows.values())
+    if stranded is not None:
+        reason = f"{stranded.node or 'a target'} is out and there is no room elsewhere: all wait"
+        transitions.return_to_queue(transaction, name, reason)
 
 
-def _running(desk: Transaction, name: str, row: GangRow) -> None:
-    members = desk.members(name)
-    fallen = [number for number, one in members if one.state != "running"]
-    if fallen:
-        transitions.go_back(desk, name, fallen, f"members {', '.join(map(str, fallen))} do not run")
-        return
-    posts = [
-        MemberOnNode(number, one.node, migration.departure_ms(desk.node(one.node), desk.now)) for number, one in members
-    ]
-    sight = _sight(desk, name, row)
-    leaving = {post.node for post in posts if post.leave_ms}
-    since = {permit: desk.permits.given_ms(desk.draft, permit) for permit in row.permits}
-    if -1 in since.values():
-        row = desk.change(name, permits=tuple(one for one in row.permits if since[one] >= 0))
-    given = {permit_target(desk.draft, one): since[one] for one in row.permits if since[one] > 0}
-
-    def room(numbers: tuple[int, ...]) -> bool:
-        until = sight.finish_ms + row.load_ms + sight.unsaved_ms  # at the latest: should it have to go back
-        return desk.stock.fit(row, len(numbers), until, but=sorted(leaving)) is not None
-
-    step = migration.decide(
-        sight, posts, given, room, lambda node: not migration.needs_permit(desk.node(node), desk.now)
-    )
-    _take(desk, name, row, sight, posts, step)
-
-
-def _sight(desk: Transaction, name: str, row: GangRow) -> RunningGang:
-    # members begin a little after the record that says so, and the last checkpoint waits for them
-    left = row.work_ms - row.kept_ms - transitions.unsaved_ms(row, desk.now) + LAG_MS
-    return RunningGang(
-        now=desk.now,
-        left_ms=left,
-        finish_ms=transitions.ends_ms(desk, row, load=False) + LAG_MS,
-        unsaved_ms=transitions.unsaved_ms(row, desk.now),
-        asked_ms=row.asked_ms,
-        cost_ms=row.cost_ms,
-        load_ms=row.load_ms,
-        interval_ms=checkpoint_interval.interval_ms(row, desk.sums()),
-        asked=bool(row.permits),
-        gang=name,
-    )
-
-
-def _take(
-    desk: Transaction, name: str, row: GangRow, sight: RunningGang, posts: list[MemberOnNode], step: Step
-) -> None:
-    """The step that was decided."""
-    if step.act == "save":
-        checkpoints.ask(desk, name, step.reason)
-    elif step.act == "leave":
-        _reserve(desk, name, row, posts, step)
-    elif step.act == "go back":
-        if sight.unsaved_ms > sight.interval_ms // 8:  # a notice that left no time is as good as none
-            desk.ran(0, 1)
-        transitions.go_back(desk, name, step.movers, step.reason)
-    elif step.act == "ask":
-        _ask(desk, name, row, sight, posts, step)
-    else:
-        if row.permits:  # a notice was withdrawn, or there is no room to go to
-            desk.end_permits(row.permits, NOT_NOW)
-        reason = NOT_NOW if row.permits else row.reason
-        desk.change(name, permits=(), reason=reason, wake_ms=min(step.wake_ms, desk.next_look()))
-
-
-def _ask(desk: Transaction, name: str, row: GangRow, sight: RunningGang, posts: list[MemberOnNode], step: Step) -> None:
-    """A permit for each node that stands and is to be left; asked for once."""
-    held, reason = {permit_target(desk.draft, permit): permit for permit in row.permits}, step.reason
-    for post in posts:
-        if post.number not in step.movers or post.node in held:
-            continue
-        if not migration.needs_permit(desk.node(post.node), desk.now):
-            continue
-        urgent = migration.urgency(row, sight, post.leave_ms)
-        permit = permit_name(name, desk.index, post.number)
-        refused = desk.permits.ask(desk.draft, desk.context, permit, post.node, urgent, step.reason[:200])
-        if refused:
-            reason = f"{step.reason}; {refused}"
-        else:
-            held[post.node] = permit
-    full = (desk.now // PERMIT_MS + 1) * PERMIT_MS
-    desk.change(name, permits=tuple(held.values()), reason=reason, wake_ms=max(desk.now + 1, min(step.wake_ms, full)))
-
-
-def _reserve(desk: Transaction, name: str, row: GangRow, posts: list[MemberOnNode], step: Step) -> None:
-    """Room for the movers is theirs from here on; they go to it once the checkpoint is whole."""
-    leaving = sorted({post.node for post in posts if post.leave_ms})
-    until = transitions.ends_ms(desk, row, load=True)
-    found = desk.stock.fit(row, len(step.movers), until, but=leaving)
-    if found is None:
-        desk.change(name, reason=f"{step.reason}; no room any more", wake_ms=desk.now + PERMIT_MS)
-        return
-    for number, free in zip(step.movers, found, strict=True):
-        desk.put_member(name, number, seats.reserve(desk.member(name, number), free.node, free.life))
-    checkpoints.ask(desk, name, step.reason)
+def _first_stranded(transaction: Transaction, rows: Iterable[MemberRow]) -> MemberRow | None:
+    """Returns the first member that can't even stay where it is for now."""
+    return next((member for member in rows if not recovery.can_stay_for_now(transaction, member)), None)
--- a/brookreach/gang_scheduling/tables.py
+++ b/brookreach/gang_scheduling/tables.py
@@ -1,114 +1,121 @@
-"""The tables of gangs. Times are the agreed time in ms; work is ms of the whole gang's running."""
+"""The tables of gang scheduling.
+
+Moments are the agreed time in ms; work is ms of the whole gang's running. Rows are stored by the position of their
+fields. A field's encoded name is what `brookreach fleet show` prints and must stay.
+"""
 
 from __future__ import annotations
 
-from typing import Literal
+import msgspec
 
 from brookreach.coordination.state_machine.application import Row
+from brookreach.gang_scheduling.gang_state import GangState, MemberState
 
-GANGS, MEMBERS, RESERVED_CAPACITY = "gangs", "members", "rooms"
-SLOTS, AGENTS, QUEUE, TIMERS, RECONCILE_TIMES, TOTALS = (
-    "gang-places",
-    "gang-hands",
-    "gang-queue",
-    "gang-dues",
-    "gang-wakes",
-    "gang-sums",
-)
+GANGS = "gangs"
+MEMBERS = "members"
+RESERVED_CAPACITY = "rooms"
+SLOTS = "gang-places"
+AGENTS = "gang-hands"
+QUEUE = "gang-queue"
+TIMERS = "gang-dues"
+RECONCILE_TIMES = "gang-wakes"
+TOTALS = "gang-sums"
 
-GangState = Literal["waiting", "placing", "running", "checkpointing", "moving", "done", "failed"]
+TOTALS_KEY = "all"
 
 
 class GangRow(Row, frozen=True):
-    """What the operator asked for, and how far it is. `epoch` is the last checkpoint that all confirmed."""
+    """What the operator asked for, and how far the gang is, by its name."""
 
-    members: int
-    room: int  # of each member
+    member_count: int = msgspec.field(name="members")
+    member_capacity: int = msgspec.field(name="room")  # that each member takes of its node
     work_ms: int  # in all
-    cost_ms: int  # of a checkpoint, measured
-    load_ms: int  # of going on from one
+    checkpoint_cost_ms: int = msgspec.field(name="cost_ms")  # as measured last
+    restore_cost_ms: int = msgspec.field(name="load_ms")  # of starting from a checkpoint
     deadline_ms: int
     zones: tuple[str, ...]  # allowed; none: all
     builds: tuple[int, ...]
     flexible: bool
     state: GangState
-    since_ms: int
-    kept_ms: int = 0  # work in the last whole checkpoint
-    done_ms: int = 0  # work done since, at `since_ms`
-    epoch: int = 0
-    asked_epoch: int = 0
-    asked_ms: int = 0
-    lost_ms: int = 0  # work done twice, up to now
-    order: int = 0  # the log's place of the last plan that holds
+    since_ms: int  # of the state
+    checkpointed_work_ms: int = msgspec.field(name="kept_ms", default=0)  # in the last complete checkpoint
+    unsaved_work_ms: int = msgspec.field(name="done_ms", default=0)  # since that checkpoint, up to `since_ms`
+    epoch: int = 0  # of the last checkpoint that all members confirmed
+    requested_epoch: int = msgspec.field(name="asked_epoch", default=0)
+    requested_ms: int = msgspec.field(name="asked_ms", default=0)  # when the last checkpoint was requested
+    lost_work_ms: int = msgspec.field(name="lost_ms", default=0)  # done twice, up to now
+    plan_index: int = msgspec.field(name="order", default=0)  # log index of the plan that holds
     reason: str = ""
     submitted_ms: int = 0
-    latest_ms: int = 0  # its place in the queue: when it has to begin
-    tries: int = 0  # times it fell since its last whole checkpoint
-    permits: tuple[str, ...] = ()  # asked for or held, by name
-    fell: str = ""  # why it last went back or was broken off
+    latest_start_ms: int = msgspec.field(name="latest_ms", default=0)  # its position in the queue
+    failures: int = msgspec.field(name="tries", default=0)  # since its last complete checkpoint
+    permits: tuple[str, ...] = ()  # names of those requested or granted
+    last_failure: str = msgspec.field(name="fell", default="")  # why it last went back or was broken off
 
 
 class MemberRow(Row, frozen=True):
-    """By "gang/number": where it is to run and under which fence; `at` and `held` are as its agent said."""
+    """Where a member is to run and under which fencing token, by "gang/number"."""
 
     node: str
-    life: int  # of the node
-    fence: int
-    state: Literal["none", "fencing", "starting", "running", "stopped"]
-    epoch: int  # the last that it confirmed
-    old_node: str = ""  # what must have let go before the new one starts
-    old_fence: int = 0
-    old_life: int = 0
-    next_node: str = ""  # room held there, for when the checkpoint under way is whole
-    next_life: int = 0
-    work_ms: int = 0  # as it confirmed with `epoch`
+    node_incarnation: int = msgspec.field(name="life")
+    fencing_token: int = msgspec.field(name="fence")
+    state: MemberState
+    confirmed_epoch: int = msgspec.field(name="epoch")
+    previous_node: str = msgspec.field(name="old_node", default="")  # has to release it before `node` starts it
+    previous_fencing_token: int = msgspec.field(name="old_fence", default=0)
+    previous_node_incarnation: int = msgspec.field(name="old_life", default=0)
+    next_node: str = ""  # reserved there, for when the checkpoint under way is complete
+    next_node_incarnation: int = msgspec.field(name="next_life", default=0)
+    confirmed_work_ms: int = msgspec.field(name="work_ms", default=0)  # with `confirmed_epoch`
 
 
 class ReservedCapacityRow(Row, frozen=True):
-    """By node: room that gangs hold or have reserved there."""
+    """The capacity that gangs have reserved on a node, by the node's name."""
 
-    taken: int
+    reserved: int = msgspec.field(name="taken")
 
 
 class SlotRow(Row, frozen=True):
-    """By "node/gang/number": one member's room on a node; all of a node's together are its RoomRow."""
+    """One member's reservation on a node, by "node/gang/number"; a node's slots add up to its reserved capacity."""
 
-    room: int
+    capacity: int = msgspec.field(name="room")
 
 
 class AgentRow(Row, frozen=True):
-    """By node: the one session of its agent that may carry out orders, and the node's life it spoke for."""
+    """The one session of a node's agent that may carry out tasks, by the node's name."""
 
-    session: int  # 0: ended, at `ended_ms`; what it started may work for `seats.LET_GO_MS` more
-    life: int
+    session: int  # 0: ended, at `ended_ms`; what it started may work for `members.RELEASE_DELAY_MS` more
+    node_incarnation: int = msgspec.field(name="life")
     ended_ms: int = 0
 
 
 class QueueRow(Row, frozen=True):
-    """By "latest begin/gang": a gang that waits for room."""
+    """A gang that waits for capacity, by "latest start/gang"."""
 
     since_ms: int
 
 
 class TimerRow(Row, frozen=True):
-    """By "time/name": a gang to be looked at then; "time/@" is a round of placing, "time/@node" a hand
-    that ended.
+    """What is due at a moment, by "time/name".
+
+    The name is a gang's, to be reconciled; "@" for a round of placement; "@node" for an agent's session that ended.
     """
 
     name: str
 
 
 class ReconcileTimeRow(Row, frozen=True):
-    """By gang: its place in DUES. Not in its own row, which agents watch, and which a look alone leaves
-    as it is.
+    """When a gang is reconciled next, by its name.
+
+    It stands apart from the gang's own row, which agents watch and which a reconciliation may leave as it is.
     """
 
     at_ms: int
 
 
 class TotalsRow(Row, frozen=True):
-    """Stands at key "all": what the whole fleet's gangs have measured, and when the next round is."""
+    """What all gangs together have measured, and when the next round of placement is; at `TOTALS_KEY`."""
 
-    ran_ms: int = 0  # of members, summed
+    member_run_ms: int = msgspec.field(name="ran_ms", default=0)  # summed over members
     failures: int = 0  # members lost without notice
-    round_ms: int = 0
+    next_round_ms: int = msgspec.field(name="round_ms", default=0)  # 0: none is due
--- a/brookreach/gang_scheduling/transaction.py
+++ b/brookreach/gang_scheduling/transaction.py
@@ -1,8 +1,7 @@
-"""One record's work on the tables of gangs: rows changed together so that sums and indexes never disagree.
+"""One record's changes to the tables of gang scheduling, so that sums and indexes never disagree.
 
-It owns four things that follow from others: what is held on each node, the queue, when each gang is looked
-at, and the next round of placing. Nothing else puts these rows. It must never decide what is to become of a
-gang.
+It owns what follows from other rows: the slots and what is reserved on each node, and the queue. Nothing else puts
+these rows. It must never decide what is to become of a gang.
 """
 
 from __future__ import annotations
@@ -12,179 +11,204 @@
 
 from msgspec.structs import replace
 
-from brookreach.coordination.state_machine.application import CommandRejectedError, Context, StagedChanges, View
+from brookreach.coordination.state_machine.application import (
+    CommandRejectedError,
+    Context,
+    RowUpdate,
+    StagedChanges,
+    View,
+)
 from brookreach.disruption.tables import NODES, NodeRow
-from brookreach.gang_scheduling import members as seats
+from brookreach.gang_scheduling import members
 from brookreach.gang_scheduling.disruption_permits import PermitProvider
+from brookreach.gang_scheduling.gang_state import GangState
+from brookreach.gang_scheduling.member_key import MemberKey
 from brookreach.gang_scheduling.placement import CapacityIndex
 from brookreach.gang_scheduling.tables import (
     AGENTS,
     GANGS,
     MEMBERS,
     QUEUE,
-    RECONCILE_TIMES,
     RESERVED_CAPACITY,
     SLOTS,
-    TIMERS,
-    TOTALS,
     AgentRow,
     GangRow,
     MemberRow,
     QueueRow,
-    ReconcileTimeRow,
     ReservedCapacityRow,
     SlotRow,
-    TimerRow,
-    TotalsRow,
-)
-
-RECONCILE_INTERVAL_MS = (
-    30_000  # a gang is looked at no later than this after the last time; `Noticed` brings it forward
 )
-PLACEMENT_ROUND = "@"  # in the index of times: a round of placing
-
+from brookreach.gang_scheduling.timers import GangTimers, timer_key
 
-def timer_key(at_ms: int, name: str) -> str:
-    return f"{at_ms:016d}/{name}"
+MAX_PERMIT_REASON_LENGTH = 200
 
 
 class Transaction:
-    """The state as one record changes it. What is asked of `stock` counts all that was taken before."""
-
-    def __init__(self, view: View, context: Context, permits: PermitProvider):
-        self.draft, self.now, self.index, self.permits = StagedChanges(view), context.now_ms, context.index, permits
+    """The state as one record changes it.
+
+    Attributes:
+        context: Of the record.
+        changes: The rows with what the record has changed so far.
+        permits: By which members may be moved off nodes that stand.
+        now_ms: The agreed time of the record.
+        log_index: The record's, and so the fencing token of what it starts.
+        timers: What time alone will do.
+    """
+
+    def __init__(self, view: View, context: Context, permits: PermitProvider) -> None:
         self.context = context
+        self.changes = StagedChanges(view)
+        self.permits = permits
+        self.now_ms = context.now_ms
+        self.log_index = context.index
+        self.timers = GangTimers(self.changes, self.now_ms)
+        self._capacity: CapacityIndex | None = None
+
+    @property
+    def capacity(self) -> CapacityIndex:
+        """All targets, read once for a record; what it has reserved before is taken from them."""
+        if self._capacity is None:
+            self._capacity = CapacityIndex(self.changes, self.now_ms)
+        return self._capacity
 
     @cached_property
-    def stock(self) -> CapacityIndex:
-        return CapacityIndex(self.draft, self.now)
+    def waiting_count(self) -> int:
+        """How many gangs wait, as the record's first question found it."""
+        return self.changes.count(QUEUE)
 
     # --- rows as they stand ---
 
+    def find_gang(self, name: str) -> GangRow | None:
+        """Returns a gang's row; None where there is none."""
+        row: GangRow | None = self.changes.get(GANGS, name)
+        return row
+
     def gang(self, name: str) -> GangRow:
-        """Raises CommandRejectedError."""
-        row = self.draft.get(GANGS, name)
+        """Returns a gang's row.
+
+        Raises:
+            CommandRejectedError: if there is none.
+        """
+        row = self.find_gang(name)
         if row is None:
             raise CommandRejectedError(f"no gang {name!r}")
         return row
 
     def member(self, gang: str, number: int) -> MemberRow:
-        row = self.draft.get(MEMBERS, f"{gang}/{number:04d}")
-        return seats.UNASSIGNED if row is None else row
+        """Returns a member's row; `members.UNASSIGNED` where it was never placed."""
+        row: MemberRow | None = self.changes.get(MEMBERS, MemberKey(gang, number).text)
+        return members.UNASSIGNED if row is None else row
 
-    def members(self, gang: str) -> list[tuple[int, MemberRow]]:
-        return [(number, self.member(gang, number)) for number in range(self.gang(gang).members)]
+    def members_of(self, gang: str) -> dict[int, MemberRow]:
+        """Returns all of a gang's members by their numbers, in order."""
+        return {number: self.member(gang, number) for number in range(self.gang(gang).member_count)}
 
     def node(self, name: str) -> NodeRow | None:
-        return self.draft.get(NODES, name)
+        """Returns a node's row, which disruption owns."""
+        row: NodeRow | None = self.changes.get(NODES, name)
+        return row
 
-    def sums(self) -> TotalsRow:
-        return self.draft.get(TOTALS, "all") or TotalsRow()
+    def agent(self, node: str) -> AgentRow | None:
+        """Returns the registration of a node's agent."""
+        row: AgentRow | None = self.changes.get(AGENTS, node)
+        return row
 
-    def on_node(self, node: str) -> list[tuple[str, int]]:
-        """Gang and number of each member that takes room there, in order."""
+    def members_on_node(self, node: str) -> list[MemberKey]:
+        """Returns each member that holds capacity there, in order."""
         found = []
-        for key, _ in self.draft.rows(SLOTS, f"{node}/"):
+        for key, _ in self.changes.rows(SLOTS, f"{node}/"):
             _, gang, number = key.split("/")
-            found.append((gang, int(number)))
+            found.append(MemberKey(gang, int(number)))
         return found
 
-    def hand(self) -> AgentRow:
-        """Raises CommandRejectedError where the asking session is not the one that carries out orders on its node."""
-        row = self.draft.get(AGENTS, self.context.client)
+    def sender_registration(self) -> AgentRow:
+        """Returns the registration of the agent that sent this record.
+
+        Raises:
+            CommandRejectedError: if its session is not the one that carries out tasks on its node.
+        """
+        row = self.agent(self.context.client)
         if row is None or row.session != self.context.session or not row.session:
-            who = f"{self.context.client}: session {self.context.session}"
-            raise CommandRejectedError(f"{who} has not said Here, or was ended")
+            sender = f"{self.context.client}: session {self.context.session}"
+            raise CommandRejectedError(f"{sender} has not said Here, or was ended")
         return row
 
-    # --- changes ---
+    # --- changes of gangs and members ---
 
     def put_member(self, gang: str, number: int, row: MemberRow) -> None:
-        """And the room it takes, on each node that it holds."""
-        old, room = self.member(gang, number), self.gang(gang).room
-        before, after = seats.reserved_nodes(old), seats.reserved_nodes(row)
+        """Puts a member's row, and reserves or gives back the capacity on each node that it holds."""
+        key = MemberKey(gang, number)
+        capacity = self.gang(gang).member_capacity
+        before = members.reserved_nodes(self.member(gang, number))
+        after = members.reserved_nodes(row)
         for node in before:
             if node not in after:
-                self._room(node, gang, number, -room)
+                self._put_slot(node, key, None)
+                self._reserve(node, -capacity)
         for node in after:
             if node not in before:
-                self._room(node, gang, number, room)
-        self.draft.put(MEMBERS, f"{gang}/{number:04d}", None if row == seats.UNASSIGNED else row)
-
-    def _room(self, node: str, gang: str, number: int, room: int) -> None:
-        self.draft.put(SLOTS, f"{node}/{gang}/{number:04d}", SlotRow(room) if room > 0 else None)
-        held = self.draft.get(RESERVED_CAPACITY, node)
-        taken = (held.taken if held else 0) + room
-        self.draft.put(RESERVED_CAPACITY, node, ReservedCapacityRow(taken) if taken else None)
-        if "stock" in self.__dict__:
-            self.stock.take(node, room)
-        if room < 0 and self.draft.under.count(QUEUE):
-            self.round(self.now)
+                self._put_slot(node, key, SlotRow(capacity))
+                self._reserve(node, capacity)
+        self.changes.put(MEMBERS, key.text, None if row == members.UNASSIGNED else row)
+
+    def _put_slot(self, node: str, key: MemberKey, row: SlotRow | None) -> None:
+        self.changes.put(SLOTS, f"{node}/{key.text}", row)
+
+    def _reserve(self, node: str, capacity: int) -> None:
+        held: ReservedCapacityRow | None = self.changes.get(RESERVED_CAPACITY, node)
+        reserved = (held.reserved if held else 0) + capacity
+        self.changes.put(RESERVED_CAPACITY, node, ReservedCapacityRow(reserved) if reserved else None)
+        if self._capacity is not None:
+            self._capacity.take(node, capacity)
+        if capacity < 0 and self.changes.under.count(QUEUE):
+            self.timers.schedule_round(self.now_ms)
 
     def put_gang(self, name: str, row: GangRow) -> None:
-        """And its place in the queue."""
-        old: GangRow | None = self.draft.get(GANGS, name)
-        waited = old is not None and old.state == "waiting"
-        if waited and old is not None and (row.state != "waiting" or old.latest_ms != row.latest_ms):
-            self.draft.put(QUEUE, timer_key(old.latest_ms, name), None)
-        if row.state == "waiting" and (old is None or not waited or old.latest_ms != row.latest_ms):
-            self.draft.put(QUEUE, timer_key(row.latest_ms, name), QueueRow(row.since_ms))
-            self.round(self.now)
-        self.draft.put(GANGS, name, row)
-
-    def change(self, name: str, wake_ms: int | None = None, **fields: object) -> GangRow:
+        """Puts a gang's row, and its entry in the queue."""
+        old = self.find_gang(name)
+        old_entry = _queue_key(name, old) if old is not None else None
+        entry = _queue_key(name, row)
+        if old_entry is not None and old_entry != entry:
+            self.changes.put(QUEUE, old_entry, None)
+        if entry is not None and old_entry != entry:
+            self.changes.put(QUEUE, entry, QueueRow(row.since_ms))
+            self.timers.schedule_round(self.now_ms)
+        self.changes.put(GANGS, name, row)
+
+    def change_gang(self, name: str, reconcile_ms: int | None = None, **fields: object) -> GangRow:
+        """Changes some fields of a gang's row; where nothing differs, the row isn't put.
+
+        Args:
+            name: The gang's.
+            reconcile_ms: When it is reconciled next, 0 for never; None leaves that as it is.
+            **fields: The row's, by attribute.
+        """
         old = self.gang(name)
         row = replace(old, **fields)
         if row != old:
             self.put_gang(name, row)
-        if wake_ms is not None:
-            self.wake(name, wake_ms)
+        if reconcile_ms is not None:
+            self.timers.schedule_reconcile(name, reconcile_ms)
         return row
 
-    def wake(self, name: str, at_ms: int) -> None:
-        """Look at it then, and not by time alone before that; 0: not at all."""
-        old: ReconcileTimeRow | None = self.draft.get(RECONCILE_TIMES, name)
-        if old is not None and old.at_ms != at_ms:
-            self.draft.put(TIMERS, timer_key(old.at_ms, name), None)
-        if at_ms and (old is None or old.at_ms != at_ms):
-            self.draft.put(TIMERS, timer_key(at_ms, name), TimerRow(name))
-        self.draft.put(RECONCILE_TIMES, name, ReconcileTimeRow(at_ms) if at_ms else None)
-
-    def waking(self, name: str) -> int:
-        row: ReconcileTimeRow | None = self.draft.get(RECONCILE_TIMES, name)
-        return row.at_ms if row else 0
-
-    def next_look(self) -> int:
-        """At full multiples, so that gangs share the record in which they are looked at."""
-        return (self.now // RECONCILE_INTERVAL_MS + 1) * RECONCILE_INTERVAL_MS
-
-    def remove(self, name: str) -> None:
-        """Of a gang that has ended, once nothing is held for it."""
-        for number, _ in self.members(name):
-            self.put_member(name, number, seats.UNASSIGNED)
-        self.wake(name, 0)
-        self.draft.put(GANGS, name, None)
-
-    def round(self, at_ms: int) -> None:
-        """Place what waits no later than then."""
-        sums = self.sums()
-        if sums.round_ms and sums.round_ms <= at_ms:
-            return
-        if sums.round_ms:
-            self.draft.put(TIMERS, timer_key(sums.round_ms, PLACEMENT_ROUND), None)
-        self.draft.put(TIMERS, timer_key(at_ms, PLACEMENT_ROUND), TimerRow(PLACEMENT_ROUND))
-        self.draft.put(TOTALS, "all", replace(sums, round_ms=at_ms))
-
-    def round_over(self) -> None:
-        sums = self.sums()
-        if sums.round_ms:
-            self.draft.put(TIMERS, timer_key(sums.round_ms, PLACEMENT_ROUND), None)
-            self.draft.put(TOTALS, "all", replace(sums, round_ms=0))
-
-    def ran(self, member_ms: int, failures: int) -> None:
-        sums = self.sums()
-        self.draft.put(TOTALS, "all", replace(sums, ran_ms=sums.ran_ms + member_ms, failures=sums.failures + failures))
+    def remove_gang(self, name: str) -> None:
+        """Removes the rows of a gang that has ended, once no node is held for it."""
+        for number in self.members_of(name):
+            self.put_member(name, number, members.UNASSIGNED)
+        self.timers.schedule_reconcile(name, 0)
+        self.changes.put(GANGS, name, None)
 
     def end_permits(self, names: Iterable[str], reason: str) -> None:
-        for permit in names:
-            self.permits.end(self.draft, self.context, permit, reason[:200])
+        """Ends permits that are not needed any more."""
+        for name in names:
+            self.permits.end(self.changes, self.context, name, reason[:MAX_PERMIT_REASON_LENGTH])
+
+    def effective_updates(self) -> list[RowUpdate]:
+        """Returns what the record changes, without rows that were put back as they were."""
+        before = self.changes.under
+        return [update for update in self.changes.updates() if before.get(update.table, update.key) != update.row]
+
+
+def _queue_key(name: str, row: GangRow) -> str | None:
+    """Returns the key of a gang's entry in the queue; None where it doesn't wait."""
+    return timer_key(row.latest_start_ms, name) if row.state == GangState.WAITING else None
