--- a/brookreach/gang_scheduling/agent/agent.py
+++ b/brookreach/gang_scheduling/agent/agent.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _UnreportedEnd:
+class UnreportedExit:
     """An incarnation that ended while no lease was held."""
 
     key: MemberKey
@@ -34,24 +34,24 @@
         outputs: What is to be carried out, reported and replied.
     """
 
-    def __init__(self, node: str, node_incarnation: int, now_ms: float, quiet_ms: float) -> None:
+    def __init__(self, node: str, node_incarnation: int, now_ms: float, registration_delay_ms: float) -> None:
         """Starts without a session.
 
         Args:
             node: The node's name.
             node_incarnation: Of the node.
             now_ms: By the node's clock.
-            quiet_ms: For so long it does not register, so that whatever an earlier process of it had started has run
-                out of its grant (a lease by this clock).
+            registration_delay_ms: For so long it does not register, so that whatever an earlier process of it had
+                started has run out of its grant (a lease by this clock).
         """
         self.session = 0
         self.has_lease = False
         self.outputs = AgentOutputs()
         self.members = MemberSupervisor(node, node_incarnation, self.outputs)
         self._node_incarnation = node_incarnation
-        self._quiet_until_ms = now_ms + quiet_ms
+        self._register_from_ms = now_ms + registration_delay_ms
         self._lease_until_ms = 0.0
-        self._unreported_ends: list[_UnreportedEnd] = []
+        self._unreported_exits: list[UnreportedExit] = []
 
     # --- the lease ---
 
@@ -59,25 +59,25 @@
         """Takes a renewal: nothing is to work past `until_ms`. Another session starts anew."""
         self.check_lease(now_ms)
         if session != self.session:
-            self.on_session_ended()
+            self.on_session_lost()
             self.session = session
         self._lease_until_ms = max(self._lease_until_ms, until_ms)
         self.has_lease = now_ms < self._lease_until_ms
         if self.has_lease:
             self.outputs.reports += [
-                ReportFailed(end.key.gang, end.key.number, end.fencing_token, "its lease ran out")
-                for end in self._unreported_ends
+                ReportFailed(exited.key.gang, exited.key.number, exited.fencing_token, "its lease ran out")
+                for exited in self._unreported_exits
             ]
-            self._unreported_ends = []
+            self._unreported_exits = []
         self.members.set_grant(self._lease_until_ms)
 
-    def on_session_ended(self) -> None:
+    def on_session_lost(self) -> None:
         """Ends all that the session had started: nobody counts on it any more."""
         self._kill_all()
         self.session = 0
         self.has_lease = False
         self._lease_until_ms = 0.0
-        self._unreported_ends = []
+        self._unreported_exits = []
 
     def check_lease(self, now_ms: float) -> None:
         """Ends all that runs if the lease has run out; to be called first of all whenever the process wakes.
@@ -91,7 +91,7 @@
 
     def may_register(self, now_ms: float) -> bool:
         """Returns whether the quiet time is over and nothing of an earlier session lives."""
-        return now_ms >= self._quiet_until_ms and self.has_lease and not self.members.running
+        return now_ms >= self._register_from_ms and self.has_lease and not self.members.running
 
     def registration(self) -> RegisterAgent:
         """Returns the command that registers the session."""
@@ -100,7 +100,7 @@
     def _kill_all(self) -> None:
         for task in self.members.clear_pending_starts():
             key = MemberKey(task.gang, task.member)
-            self._unreported_ends.append(_UnreportedEnd(key, task.fencing_token))
+            self._unreported_exits.append(UnreportedExit(key, task.fencing_token))
         self.members.kill_all()
 
     # --- tasks ---
@@ -119,7 +119,7 @@
         elif task.kind == TaskKind.STOP:
             self.members.handle_stop(task)
         else:
-            self.members.handle_work(task)
+            self.members.handle_active_task(task)
 
     def _is_for_this_session(self, task: AgentTask) -> bool:
         is_same = task.session == self.session and task.node_incarnation == self._node_incarnation
@@ -135,7 +135,7 @@
         """Notes that an incarnation's work is stored, away from the node."""
         self.members.on_saved(key, fencing_token, epoch, work_ms)
 
-    def on_member_ended(self, key: MemberKey, fencing_token: int, reason: str) -> None:
+    def on_member_exited(self, key: MemberKey, fencing_token: int, reason: str) -> None:
         """Notes that an incarnation has ended, by a kill or by itself: only now may anybody hear that it did."""
         process = self.members.remove(key, fencing_token)
         if process is None:
@@ -143,5 +143,5 @@
         if self.has_lease:
             self.members.report_end(key, process, reason)
         else:
-            self._unreported_ends.append(_UnreportedEnd(key, fencing_token))
+            self._unreported_exits.append(UnreportedExit(key, fencing_token))
         self.members.start_pending(key)
--- a/brookreach/gang_scheduling/agent/member_process.py
+++ b/brookreach/gang_scheduling/agent/member_process.py
@@ -38,14 +38,14 @@
         epoch: The newest that it was asked to save, or was told is over.
         state: How far it is.
         waiting_tokens: Of tasks that are answered when the step under way ends.
-        saved_work_ms: In the epoch that it saved last.
+        checkpointed_work_ms: In the epoch that it saved last.
     """
 
     fencing_token: int
     epoch: int
     state: ProcessState = ProcessState.LOADING
     waiting_tokens: list[str] = field(default_factory=list)
-    saved_work_ms: int = 0
+    checkpointed_work_ms: int = 0
 
     def enter(self, state: ProcessState) -> None:
         """Changes the state.
--- a/brookreach/gang_scheduling/agent/member_supervisor.py
+++ b/brookreach/gang_scheduling/agent/member_supervisor.py
@@ -112,7 +112,7 @@
         process.add_waiting(task.token)
         self._kill(key, process)
 
-    def handle_work(self, task: AgentTask) -> None:
+    def handle_active_task(self, task: AgentTask) -> None:
         """Runs or saves the incarnation of this very token, and never goes back to an older epoch."""
         process = self.running.get(MemberKey(task.gang, task.member))
         if process is None or process.fencing_token != task.fencing_token:
@@ -168,7 +168,7 @@
         if process.epoch != epoch or process.state != ProcessState.SAVING:
             return
         process.enter(ProcessState.SAVED)
-        process.saved_work_ms = work_ms
+        process.checkpointed_work_ms = work_ms
         self._outputs.reports.append(self._confirmation(key, process))
         self._finish_waiting(process, ok=True, text=f"epoch {epoch}, work {work_ms}")
 
@@ -206,7 +206,7 @@
             self._node,
             self._node_incarnation,
             process.fencing_token,
-            process.saved_work_ms,
+            process.checkpointed_work_ms,
         )
 
     def repeat_report(self, task: AgentTask) -> None:
--- a/brookreach/gang_scheduling/agent/outputs.py
+++ b/brookreach/gang_scheduling/agent/outputs.py
@@ -23,12 +23,12 @@
     reports: list[AgentCommand] = field(default_factory=list)
     replies: TaskReplies = field(default_factory=TaskReplies)
 
-    def take_actions(self) -> list[NodeAction]:
+    def drain_actions(self) -> list[NodeAction]:
         """Returns the actions and forgets them."""
         actions, self.actions = self.actions, []
         return actions
 
-    def take_reports(self) -> list[AgentCommand]:
+    def drain_reports(self) -> list[AgentCommand]:
         """Returns the reports and forgets them."""
         reports, self.reports = self.reports, []
         return reports
--- a/brookreach/gang_scheduling/agent/process.py
+++ b/brookreach/gang_scheduling/agent/process.py
@@ -30,7 +30,7 @@
 from brookreach.disruption.node_agent import Agent, Facts, Say
 from brookreach.gang_scheduling.agent.agent import GangAgent
 from brookreach.gang_scheduling.agent.node_log import NodeLog
-from brookreach.gang_scheduling.agent.work_player import WorkPlayer
+from brookreach.gang_scheduling.agent.workload_simulator import WorkloadSimulator
 from brookreach.gang_scheduling.agent_tasks import tasks_for_node
 from brookreach.gang_scheduling.application import APPLICATION
 from brookreach.gang_scheduling.commands import RegisterAgent
@@ -39,7 +39,7 @@
 WATCHED_TABLES = (GANGS, AGENTS, MEMBERS, SLOTS)
 TICK_S = 0.01
 REPEAT_INTERVAL_MS = 500.0  # between registrations, and between readings of tasks that still stand
-QUIET_LEASES = 1.25  # after the process's start, before it registers
+REGISTRATION_DELAY_LEASES = 1.25  # after the process's start, before it registers
 
 
 class GangAgentProcess(Agent):
@@ -59,9 +59,9 @@
         """
         tables = {name: APPLICATION.tables[name] for name in WATCHED_TABLES}
         super().__init__(facts, settings, key, None, say, tables)
-        quiet_ms = settings.timing.lease_ms * QUIET_LEASES
-        self._agent = GangAgent(facts.name, self.life, now_ms(), quiet_ms)
-        self._player = WorkPlayer(self._agent, log, self._find_gang)
+        registration_delay_ms = settings.timing.lease_ms * REGISTRATION_DELAY_LEASES
+        self._agent = GangAgent(facts.name, self.life, now_ms(), registration_delay_ms)
+        self._simulator = WorkloadSimulator(self._agent, log, self._find_gang)
         self._proposed: dict[int, Command] = {}  # by sequence number, until they are answered
         self._registered_session = 0
         self._register_ms = 0.0
@@ -78,10 +78,10 @@
     def tick(self) -> None:
         """Does what the clock says is due."""
         at_ms = now_ms()
-        self._player.end_expired(at_ms)
+        self._simulator.end_expired(at_ms)
         self._agent.check_lease(at_ms)
         self._flush()
-        while self._player.run_next_due(at_ms):
+        while self._simulator.run_next_timer(at_ms):
             self._flush()
         session = self.client.session
         if session and session != self._registered_session and at_ms >= self._register_ms:
@@ -107,7 +107,7 @@
                 self._agent.on_lease_renewed(now_ms(), event.session, event.until_ms)
             case SessionLost():
                 self._registered_session = 0
-                self._agent.on_session_ended()
+                self._agent.on_session_lost()
             case RowsChanged():
                 self._read_tasks()
         self._flush()
@@ -130,10 +130,10 @@
 
     def _flush(self) -> None:
         """Carries out and proposes what the agent has decided; replies go nowhere, as tasks are read from rows."""
-        for action in self._agent.outputs.take_actions():
-            self._player.carry_out(action)
-        reports = self._agent.outputs.take_reports()
-        self._agent.outputs.replies.take()
+        for action in self._agent.outputs.drain_actions():
+            self._simulator.execute(action)
+        reports = self._agent.outputs.drain_reports()
+        self._agent.outputs.replies.drain()
         for report in reports:
             self._propose(report)
 
--- a/brookreach/gang_scheduling/agent/replies.py
+++ b/brookreach/gang_scheduling/agent/replies.py
@@ -25,7 +25,7 @@
         self._outgoing: list[TaskReply] = []
         self._final: OrderedDict[str, TaskReply] = OrderedDict()
 
-    def take(self) -> list[TaskReply]:
+    def drain(self) -> list[TaskReply]:
         """Returns the replies that are to be sent, and forgets that they are."""
         outgoing, self._outgoing = self._outgoing, []
         return outgoing
--- a/brookreach/gang_scheduling/agent/work_player.py
+++ b/brookreach/gang_scheduling/agent/workload_simulator.py
@@ -26,7 +26,7 @@
 from brookreach.gang_scheduling.tables import GangRow
 
 
-class WorkPlayer:
+class WorkloadSimulator:
     """The node's side of its agent: carries out actions, and tells the agent what became of them."""
 
     def __init__(self, agent: GangAgent, log: NodeLog, find_gang: Callable[[str], GangRow | None]) -> None:
@@ -43,7 +43,7 @@
             if at_ms >= incarnation.grant_until_ms:
                 self._end(incarnation, "grant ended")
 
-    def run_next_due(self, at_ms: float) -> bool:
+    def run_next_timer(self, at_ms: float) -> bool:
         """Runs the first timer that is due; False where there is none."""
         if not self._timers or self._timers[0][0] > at_ms:
             return False
@@ -51,7 +51,7 @@
         callback()
         return True
 
-    def carry_out(self, action: NodeAction) -> None:
+    def execute(self, action: NodeAction) -> None:
         """Carries out an action of the agent; one for another incarnation than the present has no effect."""
         match action:
             case ExtendGrants(grant_until_ms=until_ms):
@@ -124,7 +124,7 @@
         del self._incarnations[incarnation.key]
         self._log.write(LogEvent.STOP, incarnation, why)
         key, fencing_token = incarnation.key, incarnation.fencing_token
-        self._schedule(0.0, lambda: self._agent.on_member_ended(key, fencing_token, why))
+        self._schedule(0.0, lambda: self._agent.on_member_exited(key, fencing_token, why))
 
     def _is_present(self, incarnation: PlayedIncarnation) -> bool:
         return self._incarnations.get(incarnation.key) is incarnation
--- a/brookreach/gang_scheduling/agent_reports.py
+++ b/brookreach/gang_scheduling/agent_reports.py
@@ -44,14 +44,14 @@
                 f" life {incarnation} begins its own"
             )
         return []
-    gangs = release_ended_agent(transaction, agent)
+    gangs = release_agent_members(transaction, agent)
     transaction.changes.put(AGENTS, agent, AgentRow(session, incarnation))
     if transaction.changes.under.count(QUEUE):
         transaction.timers.schedule_round(transaction.now_ms)
     return gangs
 
 
-def release_ended_agent(transaction: Transaction, node: str) -> list[str]:
+def release_agent_members(transaction: Transaction, node: str) -> list[str]:
     """Takes what an ended session had started on its node for stopped: by time, or as the next session registers."""
     agent = transaction.agent(node)
     if agent is None or agent.session:
@@ -120,7 +120,7 @@
     return [command.gang]
 
 
-def report_ended(transaction: Transaction, command: ReportStopped | ReportFailed) -> list[str]:
+def report_exited(transaction: Transaction, command: ReportStopped | ReportFailed) -> list[str]:
     """Notes that a member ended, as it was to or by itself.
 
     Raises:
@@ -135,8 +135,8 @@
     _check_runs_here(transaction, member, command)
     _count_failure(transaction, command)
     node = transaction.context.client
-    reason = f"member {command.member} on {node}: {_why_ended(command)}"
-    recovery.handle_lost_members(transaction, command.gang, [command.member], reason, has_ended=True)
+    reason = f"member {command.member} on {node}: {_exit_reason(command)}"
+    recovery.handle_lost_members(transaction, command.gang, [command.member], reason, has_exited=True)
     return [command.gang]
 
 
@@ -165,7 +165,7 @@
         )
 
 
-def _why_ended(command: ReportStopped | ReportFailed) -> str:
+def _exit_reason(command: ReportStopped | ReportFailed) -> str:
     return command.reason if isinstance(command, ReportFailed) else "stopped without an order"
 
 
@@ -175,7 +175,7 @@
     row = transaction.change_gang(command.gang, failures=failures)
     if failures < transitions.MAX_FAILURES or row.state == GangState.WAITING or row.state in FINAL_STATES:
         return
-    reason = f"fell {failures} times since epoch {row.epoch}; last: {_why_ended(command)}"
+    reason = f"fell {failures} times since epoch {row.epoch}; last: {_exit_reason(command)}"
     transitions.finish(transaction, command.gang, GangState.FAILED, reason)
 
 
--- a/brookreach/gang_scheduling/application.py
+++ b/brookreach/gang_scheduling/application.py
@@ -25,7 +25,7 @@
 from brookreach.gang_scheduling.gang_state import FINAL_STATES
 from brookreach.gang_scheduling.queue import PreferPlacement, place_waiting
 from brookreach.gang_scheduling.reconcile import reconcile
-from brookreach.gang_scheduling.timers import AgentReleaseDue, GangDue, RoundDue
+from brookreach.gang_scheduling.timers import AgentReleaseTimer, PlacementRoundTimer, ReconcileTimer
 from brookreach.gang_scheduling.totals import read_totals
 from brookreach.gang_scheduling.transaction import Transaction
 
@@ -73,14 +73,14 @@
     def advance_time(self, view: View, context: Context) -> list[RowUpdate]:
         """Returns what has changed by time alone until `context.now_ms`."""
         transaction = Transaction(view, context, self.permits)
-        for timer in timers.due_timers(view, context.now_ms):
+        for timer in timers.expired_timers(view, context.now_ms):
             match timer:
-                case GangDue(gang=gang):
+                case ReconcileTimer(gang=gang):
                     _reconcile_gang(transaction, gang)
-                case AgentReleaseDue(node=node):
+                case AgentReleaseTimer(node=node):
                     transaction.timers.remove(timer)
-                    _reconcile_all(transaction, agent_reports.release_ended_agent(transaction, node))
-                case RoundDue():
+                    _reconcile_all(transaction, agent_reports.release_agent_members(transaction, node))
+                case PlacementRoundTimer():
                     pass  # run below, once, after all gangs that are due
         round_ms = read_totals(transaction.changes).next_round_ms
         if round_ms and round_ms <= context.now_ms:
@@ -96,7 +96,7 @@
         if agent is None or agent.session != context.session:
             return []
         for lost in agent_reports.end_session(transaction, agent):
-            recovery.handle_lost_members(transaction, lost.gang, lost.numbers, lost.reason, has_ended=False)
+            recovery.handle_lost_members(transaction, lost.gang, lost.numbers, lost.reason, has_exited=False)
             _reconcile_gang(transaction, lost.gang)
         return transaction.effective_updates()
 
@@ -117,7 +117,7 @@
         case gang_commands.ReportStarted():
             touched = agent_reports.report_started(transaction, command)
         case gang_commands.ReportStopped() | gang_commands.ReportFailed():
-            touched = agent_reports.report_ended(transaction, command)
+            touched = agent_reports.report_exited(transaction, command)
         case gang_commands.ReportCosts():
             agent_reports.report_costs(transaction, command)
         case gang_commands.ReconcileNode():
@@ -140,7 +140,7 @@
         return
     if row.state in FINAL_STATES:
         carbon_placement.release_reservation(transaction, gang, row)
-    if 0 < transaction.timers.reconcile_due_ms(gang) <= transaction.now_ms:
+    if 0 < transaction.timers.scheduled_reconcile_ms(gang) <= transaction.now_ms:
         transaction.timers.schedule_reconcile(gang, transaction.timers.next_reconcile_ms())
 
 
@@ -156,7 +156,7 @@
         return gangs
     next_second_ms = (transaction.now_ms // SECOND_MS + 1) * SECOND_MS
     for gang in gangs:
-        due_ms = transaction.timers.reconcile_due_ms(gang)
+        due_ms = transaction.timers.scheduled_reconcile_ms(gang)
         at_ms = min(due_ms, next_second_ms) if due_ms else next_second_ms
         transaction.timers.schedule_reconcile(gang, at_ms)
     return []
--- a/brookreach/gang_scheduling/carbon_placement.py
+++ b/brookreach/gang_scheduling/carbon_placement.py
@@ -62,15 +62,15 @@
 
 
 def _flexible_job(transaction: Transaction, name: str, row: GangRow) -> Flexible:
-    move_cost_ms = row.restore_cost_ms + row.checkpoint_cost_ms
-    duration_ms = estimates.remaining_work_ms(row, transaction.now_ms) + move_cost_ms
+    migration_cost_ms = row.restore_cost_ms + row.checkpoint_cost_ms
+    duration_ms = estimates.remaining_work_ms(row, transaction.now_ms) + migration_cost_ms
     return Flexible(
         reservation_owner(name),
         row.member_count * row.member_capacity,
         duration_ms,
         row.deadline_ms or row.latest_start_ms + duration_ms,
         row.zones,
-        move_cost_ms,
+        migration_cost_ms,
         duration_ms,
     )
 
--- a/brookreach/gang_scheduling/checkpoints.py
+++ b/brookreach/gang_scheduling/checkpoints.py
@@ -104,14 +104,14 @@
         name, epoch=row.requested_epoch, checkpointed_work_ms=work_ms, unsaved_work_ms=0, failures=0
     )
     if work_ms < row.work_ms:
-        _move_or_resume(transaction, name, row.reason)
+        _migrate_or_resume(transaction, name, row.reason)
         return
     is_late = 0 < row.deadline_ms < transaction.now_ms
     late = f", {transaction.now_ms - row.deadline_ms} ms late" if is_late else ""
     transitions.finish(transaction, name, GangState.DONE, f"done with epoch {row.requested_epoch}{late}")
 
 
-def _move_or_resume(transaction: Transaction, name: str, reason: str) -> None:
+def _migrate_or_resume(transaction: Transaction, name: str, reason: str) -> None:
     """Sends members to the nodes reserved for them, and those that died to others; the rest stay, paused."""
     row = transaction.gang(name)
     end_ms = estimates.expected_end_after_restore_ms(transaction, row)
--- a/brookreach/gang_scheduling/gang_state.py
+++ b/brookreach/gang_scheduling/gang_state.py
@@ -51,32 +51,32 @@
 }
 
 
-def check_transition(gang: str, old: GangState | None, new: GangState | None) -> None:
+def check_transition(gang: str, previous: GangState | None, new: GangState | None) -> None:
     """Checks one change between the state before a record and after it.
 
     One record may take a gang through two steps: the states between are not seen, so each pair of steps is allowed.
 
     Args:
         gang: The gang's name, for the error.
-        old: The state before; None where the gang did not exist.
+        previous: The state before; None where the gang did not exist.
         new: The state after; None where its rows were removed.
 
     Raises:
-        IllegalTransitionError: if no two steps lead from `old` to `new`.
+        IllegalTransitionError: if no two steps lead from `previous` to `new`.
     """
-    if old == new:
+    if previous == new:
         return
-    if new is None and old in FINAL_STATES:
+    if new is None and previous in FINAL_STATES:
         return
-    reachable = _reachable_in_one_record(old) if new is not None else set()
+    reachable = _reachable_in_one_record(previous) if new is not None else set()
     if new not in reachable:
         allowed = ", ".join(sorted(reachable)) or "none"
-        raise IllegalTransitionError(f"{gang}: {old or 'new'} to {new or 'removed'}; allowed: {allowed}")
+        raise IllegalTransitionError(f"{gang}: {previous or 'new'} to {new or 'removed'}; allowed: {allowed}")
 
 
 def _reachable_in_one_record(state: GangState | None) -> set[GangState]:
-    first_steps = ALLOWED_TRANSITIONS[state] if state is not None else (GangState.WAITING,)
-    reachable = set(first_steps)
-    for between in first_steps:
+    next_states = ALLOWED_TRANSITIONS[state] if state is not None else (GangState.WAITING,)
+    reachable = set(next_states)
+    for between in next_states:
         reachable.update(ALLOWED_TRANSITIONS[between])
     return reachable
--- a/brookreach/gang_scheduling/node_search.py
+++ b/brookreach/gang_scheduling/node_search.py
@@ -68,21 +68,21 @@
         takes_all: list[NodeCapacity] = []
         largest: list[NodeCapacity] = []
         for group in self._groups:
-            node = self._first_open(group, wanted)
+            node = self._find_tightest(group, wanted)
             if node is not None and self._takes_one(node):
                 takes_all.append(node)
             elif node is None:
-                node = self._largest_open_below(group, wanted)
+                node = self._find_largest_below(group, wanted)
                 if node is not None and self._takes_one(node):
                     largest.append(node)
         if takes_all:
             return min(takes_all, key=lambda node: (node.free, node.node))
         return min(largest, key=lambda node: (-node.free, node.node), default=None)
 
-    def _first_open(self, group: NodeGroup, free: int) -> NodeCapacity | None:
+    def _find_tightest(self, group: NodeGroup, free: int) -> NodeCapacity | None:
         return next((node for node in group.ascending_from(free) if self._is_open(node)), None)
 
-    def _largest_open_below(self, group: NodeGroup, free: int) -> NodeCapacity | None:
+    def _find_largest_below(self, group: NodeGroup, free: int) -> NodeCapacity | None:
         return next((node for node in group.descending_below(free) if self._is_open(node)), None)
 
     def _latest_retiring(self) -> NodeCapacity | None:
--- a/brookreach/gang_scheduling/placement.py
+++ b/brookreach/gang_scheduling/placement.py
@@ -94,13 +94,13 @@
 
     def ascending_from(self, free: int) -> Iterator[NodeCapacity]:
         """Returns the nodes with at least so much free, the tightest first."""
-        return iter(self._nodes.islice(self._first_with(free)))
+        return iter(self._nodes.islice(self._index_of(free)))
 
     def descending_below(self, free: int) -> Iterator[NodeCapacity]:
         """Returns the nodes with less free, the largest first."""
-        return iter(self._nodes.islice(0, self._first_with(free), reverse=True))
+        return iter(self._nodes.islice(0, self._index_of(free), reverse=True))
 
-    def _first_with(self, free: int) -> int:
+    def _index_of(self, free: int) -> int:
         return int(self._nodes.bisect_key_left((free, "")))
 
 
@@ -147,7 +147,7 @@
             self.groups[key] = NodeGroup(node.zone, node.build)
         self.groups[key].add(node)
 
-    def take(self, name: str, capacity: int) -> None:
+    def allocate(self, name: str, capacity: int) -> None:
         """Reserves capacity on a node, which may be no target; a negative one is given back."""
         self.total_reserved += capacity
         node = self.nodes.get(name)
--- a/brookreach/gang_scheduling/queue.py
+++ b/brookreach/gang_scheduling/queue.py
@@ -56,12 +56,12 @@
             kept = min(capacity, max(0, node.free)) if node else 0
             if kept:
                 self._kept[name] = kept
-                index.take(name, kept)
+                index.allocate(name, kept)
 
     def lend(self, index: CapacityIndex) -> None:
         """Gives what is kept back to the index, for a gang that ends before `at_ms`."""
         for name, capacity in self._kept.items():
-            index.take(name, -capacity)
+            index.allocate(name, -capacity)
         self._kept = {}
 
 
@@ -152,7 +152,7 @@
     duration_ms = estimates.expected_end_after_restore_ms(transaction, row) - transaction.now_ms
     for release_ms, other in sorted((_release_ms(transaction, other), other) for other in reservations):
         for reservation in reservations[other]:
-            later.take(reservation.node, -reservation.capacity)
+            later.allocate(reservation.node, -reservation.capacity)
         request = PlacementRequest(row, row.member_count, release_ms + duration_ms)
         found = find_nodes(later, request)
         if found is not None:
--- a/brookreach/gang_scheduling/reconcile.py
+++ b/brookreach/gang_scheduling/reconcile.py
@@ -95,12 +95,12 @@
         targets = {number: transitions.target_of(node) for number, node in zip(unfit, found, strict=True)}
         transitions.start_members(transaction, name, targets, row.state, f"targets that leave: {moves}")
         return
-    stranded = _first_stranded(transaction, rows.values())
+    stranded = _find_stranded(transaction, rows.values())
     if stranded is not None:
         reason = f"{stranded.node or 'a target'} is out and there is no room elsewhere: all wait"
         transitions.return_to_queue(transaction, name, reason)
 
 
-def _first_stranded(transaction: Transaction, rows: Iterable[MemberRow]) -> MemberRow | None:
+def _find_stranded(transaction: Transaction, rows: Iterable[MemberRow]) -> MemberRow | None:
     """Returns the first member that can't even stay where it is for now."""
     return next((member for member in rows if not recovery.can_stay_for_now(transaction, member)), None)
--- a/brookreach/gang_scheduling/reconcile_running.py
+++ b/brookreach/gang_scheduling/reconcile_running.py
@@ -24,13 +24,13 @@
 from brookreach.gang_scheduling.transaction import MAX_PERMIT_REASON_LENGTH, Transaction
 
 START_LAG_MS = 2000  # members begin a little after the record that says so, and the last checkpoint waits for them
-MOVE_OBSOLETE = "a move is not wanted or possible any more"
+MIGRATION_OBSOLETE = "a move is not wanted or possible any more"
 PERMIT_POLL_MS = 1000  # while permits are waited for; at full seconds, so that all that wait share a record
 FAILURE_FRACTION = 8  # a forced restore counts as a failure if it loses more than this part of an interval
 
 
 class _ClusterConditions:
-    """What the rows of one record say about permits and capacity, for `migration.MoveConditions`."""
+    """What the rows of one record say about permits and capacity, for `migration.MigrationConditions`."""
 
     def __init__(
         self, transaction: Transaction, row: GangRow, gang: RunningGang, placed: Sequence[MemberOnNode]
@@ -64,7 +64,7 @@
     row = _forget_absent_permits(transaction, name, row)
     conditions = _ClusterConditions(transaction, row, gang, placed)
     step = migration.decide(gang, placed, conditions)
-    _carry_out(transaction, row, gang, placed, step)
+    _execute(transaction, row, gang, placed, step)
 
 
 def _member_on_node(transaction: Transaction, number: int, member: MemberRow) -> MemberOnNode:
@@ -112,18 +112,18 @@
     return granted_ms
 
 
-def _carry_out(
+def _execute(
     transaction: Transaction, row: GangRow, gang: RunningGang, placed: Sequence[MemberOnNode], step: Step
 ) -> None:
     match step.kind:
         case StepKind.CHECKPOINT:
             checkpoints.request(transaction, gang.name, step.reason)
-        case StepKind.CHECKPOINT_AND_MOVE:
+        case StepKind.CHECKPOINT_AND_MIGRATE:
             _reserve_and_checkpoint(transaction, row, gang.name, placed, step)
         case StepKind.RESTORE:
             if gang.unsaved_ms > gang.interval_ms // FAILURE_FRACTION:  # a notice without time is as good as none
                 add_failure(transaction.changes)
-            recovery.restore_from_checkpoint(transaction, gang.name, step.movers, step.reason)
+            recovery.restore_from_checkpoint(transaction, gang.name, step.migrating, step.reason)
         case StepKind.REQUEST_PERMITS:
             _request_permits(transaction, row, gang, placed, step)
         case StepKind.CONTINUE:
@@ -133,11 +133,11 @@
 def _continue(transaction: Transaction, row: GangRow, name: str, step: Step) -> None:
     """Waits; permits are ended where a notice was withdrawn, or there is no capacity to go to."""
     if row.permits:
-        transaction.end_permits(row.permits, MOVE_OBSOLETE)
+        transaction.end_permits(row.permits, MIGRATION_OBSOLETE)
     transaction.change_gang(
         name,
         permits=(),
-        reason=MOVE_OBSOLETE if row.permits else row.reason,
+        reason=MIGRATION_OBSOLETE if row.permits else row.reason,
         reconcile_ms=min(step.wake_ms, transaction.timers.next_reconcile_ms()),
     )
 
@@ -149,7 +149,7 @@
     permits = {permit_target(transaction.changes, permit): permit for permit in row.permits}
     reason = step.reason
     for member in placed:
-        if member.number not in step.movers or member.node in permits:
+        if member.number not in step.migrating or member.node in permits:
             continue
         if not departures.needs_permit(transaction.node(member.node), transaction.now_ms):
             continue
@@ -178,15 +178,15 @@
 def _reserve_and_checkpoint(
     transaction: Transaction, row: GangRow, name: str, placed: Sequence[MemberOnNode], step: Step
 ) -> None:
-    """Reserves capacity for the movers, who go to it once the checkpoint is complete."""
+    """Reserves capacity for members that migrate; they go to it once the checkpoint is complete."""
     leaving = sorted({member.node for member in placed if member.departure_ms})
     end_ms = estimates.expected_end_after_restore_ms(transaction, row)
-    found = find_nodes(transaction.capacity, PlacementRequest(row, len(step.movers), end_ms, excluded=leaving))
+    found = find_nodes(transaction.capacity, PlacementRequest(row, len(step.migrating), end_ms, excluded=leaving))
     if found is None:
         reason = f"{step.reason}; no room any more"
         transaction.change_gang(name, reason=reason, reconcile_ms=transaction.now_ms + PERMIT_POLL_MS)
         return
-    for number, node in zip(step.movers, found, strict=True):
+    for number, node in zip(step.migrating, found, strict=True):
         reserved = members.reserve(transaction.member(name, number), transitions.target_of(node))
         transaction.put_member(name, number, reserved)
     checkpoints.request(transaction, name, step.reason)
--- a/brookreach/gang_scheduling/recovery.py
+++ b/brookreach/gang_scheduling/recovery.py
@@ -41,10 +41,10 @@
     return not leaves_ms or leaves_ms > transaction.now_ms
 
 
-def restore_from_checkpoint(transaction: Transaction, name: str, out: Collection[int], reason: str) -> None:
+def restore_from_checkpoint(transaction: Transaction, name: str, evicted: Collection[int], reason: str) -> None:
     """Takes a gang back to its last complete checkpoint.
 
-    Members `out` leave their nodes, all others start again where they are, if they can. Since the gang stands still
+    Members `evicted` leave their nodes, all others start again where they are, if they can. Since the gang stands still
     anyway, members on nodes with a notice go too where there is capacity for them. With no capacity for those that
     must go, all of it waits: a gang is never there in part.
     """
@@ -53,28 +53,28 @@
     row = discard_unsaved_work(transaction, name, state, reason)
     end_ms = estimates.expected_end_after_restore_ms(transaction, row)
     rows = transaction.members_of(name)
-    must_move = [
-        number for number, member in rows.items() if number in out or not can_stay_for_now(transaction, member)
+    must_migrate = [
+        number for number, member in rows.items() if number in evicted or not can_stay_for_now(transaction, member)
     ]
-    better_moved = [
+    better_migrated = [
         number
         for number, member in rows.items()
-        if number in must_move or not can_start_on_node(transaction, member, end_ms)
+        if number in must_migrate or not can_start_on_node(transaction, member, end_ms)
     ]
-    for movers in (better_moved, must_move):
-        excluded = tuple(sorted({rows[number].node for number in movers} - {""}))
-        request = PlacementRequest(row, len(movers), end_ms, excluded=excluded)
+    for migrating in (better_migrated, must_migrate):
+        excluded = tuple(sorted({rows[number].node for number in migrating} - {""}))
+        request = PlacementRequest(row, len(migrating), end_ms, excluded=excluded)
         found = find_nodes(transaction.capacity, request)
         if found is not None:
             targets = {number: Target(member.node, member.node_incarnation) for number, member in rows.items()}
-            targets |= {number: target_of(node) for number, node in zip(movers, found, strict=True)}
+            targets |= {number: target_of(node) for number, node in zip(migrating, found, strict=True)}
             start_members(transaction, name, targets, state, reason)
             return
-    return_to_queue(transaction, name, f"{reason}; no room for {len(must_move)} of its members, so all wait")
+    return_to_queue(transaction, name, f"{reason}; no room for {len(must_migrate)} of its members, so all wait")
 
 
 def handle_lost_members(
-    transaction: Transaction, name: str, numbers: Collection[int], reason: str, *, has_ended: bool
+    transaction: Transaction, name: str, numbers: Collection[int], reason: str, *, has_exited: bool
 ) -> None:
     """Reacts to members that no longer work as planned.
 
@@ -85,13 +85,13 @@
         name: The gang's.
         numbers: The members'.
         reason: For operators.
-        has_ended: Nothing of them can work any more.
+        has_exited: Nothing of them can work any more.
     """
     row = transaction.gang(name)
     is_unforeseen = any(_fell_unforeseen(transaction, transaction.member(name, number)) for number in numbers)
     for number in numbers:
         member = members.unassign(transaction.member(name, number))
-        transaction.put_member(name, number, members.release(member) if has_ended else member)
+        transaction.put_member(name, number, members.release(member) if has_exited else member)
     if row.state == GangState.WAITING or row.state in FINAL_STATES:
         return
     if is_unforeseen and row.state in (GangState.RUNNING, GangState.CHECKPOINTING):
@@ -131,4 +131,4 @@
             fallen.append(number)
     if fallen:
         nodes = ", ".join(dict.fromkeys(transaction.member(name, number).node for number in fallen))
-        handle_lost_members(transaction, name, fallen, f"{nodes} started anew", has_ended=True)
+        handle_lost_members(transaction, name, fallen, f"{nodes} started anew", has_exited=True)
--- a/brookreach/gang_scheduling/running_gang.py
+++ b/brookreach/gang_scheduling/running_gang.py
@@ -32,12 +32,12 @@
     has_permits: bool = False  # requested or granted
 
     @property
-    def checkpoint_due_ms(self) -> int:
+    def next_checkpoint_ms(self) -> int:
         """When the next checkpoint is due, were there no notice."""
         return self.now_ms + max(0, self.interval_ms - self.unsaved_ms)
 
     @property
-    def move_cost_ms(self) -> int:
+    def migration_cost_ms(self) -> int:
         """The time that a move of any member takes."""
         return self.checkpoint_cost_ms + self.restore_cost_ms
 
@@ -47,7 +47,7 @@
         return self.remaining_ms > self.interval_ms // 2
 
 
-class MoveConditions(Protocol):
+class MigrationConditions(Protocol):
     """What a decision asks about the cluster."""
 
     @property
--- a/brookreach/gang_scheduling/timers.py
+++ b/brookreach/gang_scheduling/timers.py
@@ -19,26 +19,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GangDue:
+class ReconcileTimer:
     """A gang is to be reconciled."""
 
     gang: str
 
 
 @dataclass(frozen=True, slots=True)
-class RoundDue:
+class PlacementRoundTimer:
     """What waits is to be placed."""
 
 
 @dataclass(frozen=True, slots=True)
-class AgentReleaseDue:
+class AgentReleaseTimer:
     """What an agent's ended session had started on its node counts as stopped."""
 
     node: str
     key: str  # of its timer, which its handler removes
 
 
-DueTimer = GangDue | RoundDue | AgentReleaseDue
+Timer = ReconcileTimer | PlacementRoundTimer | AgentReleaseTimer
 
 
 def timer_key(at_ms: int, name: str) -> str:
@@ -52,18 +52,18 @@
     return None if entry is None else _moment_ms(entry[0])
 
 
-def due_timers(view: View, now_ms: int) -> list[DueTimer]:
+def expired_timers(view: View, now_ms: int) -> list[Timer]:
     """Returns the timers whose moment has come, in order."""
-    due: list[DueTimer] = []
+    due: list[Timer] = []
     for key, row in ordered(view, TIMERS):
         if _moment_ms(key) > now_ms:
             break
         if row.name == PLACEMENT_ROUND:
-            due.append(RoundDue())
+            due.append(PlacementRoundTimer())
         elif row.name.startswith(PLACEMENT_ROUND):
-            due.append(AgentReleaseDue(row.name.removeprefix(PLACEMENT_ROUND), key))
+            due.append(AgentReleaseTimer(row.name.removeprefix(PLACEMENT_ROUND), key))
         else:
-            due.append(GangDue(row.name))
+            due.append(ReconcileTimer(row.name))
     return due
 
 
@@ -80,14 +80,14 @@
 
     def schedule_reconcile(self, gang: str, at_ms: int) -> None:
         """Reconciles a gang then, and not by time alone before; 0: not at all."""
-        old_ms = self.reconcile_due_ms(gang)
-        if old_ms and old_ms != at_ms:
-            self._changes.put(TIMERS, timer_key(old_ms, gang), None)
-        if at_ms and old_ms != at_ms:
+        previous_ms = self.scheduled_reconcile_ms(gang)
+        if previous_ms and previous_ms != at_ms:
+            self._changes.put(TIMERS, timer_key(previous_ms, gang), None)
+        if at_ms and previous_ms != at_ms:
             self._changes.put(TIMERS, timer_key(at_ms, gang), TimerRow(gang))
         self._changes.put(RECONCILE_TIMES, gang, ReconcileTimeRow(at_ms) if at_ms else None)
 
-    def reconcile_due_ms(self, gang: str) -> int:
+    def scheduled_reconcile_ms(self, gang: str) -> int:
         """Returns when a gang is reconciled next; 0: never."""
         row: ReconcileTimeRow | None = self._changes.get(RECONCILE_TIMES, gang)
         return row.at_ms if row else 0
@@ -122,6 +122,6 @@
         """Removes the timer that was scheduled for `at_ms`."""
         self._changes.put(TIMERS, timer_key(at_ms, PLACEMENT_ROUND + node), None)
 
-    def remove(self, timer: AgentReleaseDue) -> None:
+    def remove(self, timer: AgentReleaseTimer) -> None:
         """Removes a timer that was handled."""
         self._changes.put(TIMERS, timer.key, None)
--- a/brookreach/gang_scheduling/transaction.py
+++ b/brookreach/gang_scheduling/transaction.py
@@ -159,18 +159,18 @@
         reserved = (held.reserved if held else 0) + capacity
         self.changes.put(RESERVED_CAPACITY, node, ReservedCapacityRow(reserved) if reserved else None)
         if self._capacity is not None:
-            self._capacity.take(node, capacity)
+            self._capacity.allocate(node, capacity)
         if capacity < 0 and self.changes.under.count(QUEUE):
             self.timers.schedule_round(self.now_ms)
 
     def put_gang(self, name: str, row: GangRow) -> None:
         """Puts a gang's row, and its entry in the queue."""
-        old = self.find_gang(name)
-        old_entry = _queue_key(name, old) if old is not None else None
+        previous = self.find_gang(name)
+        previous_entry = _queue_key(name, previous) if previous is not None else None
         entry = _queue_key(name, row)
-        if old_entry is not None and old_entry != entry:
-            self.changes.put(QUEUE, old_entry, None)
-        if entry is not None and old_entry != entry:
+        if previous_entry is not None and previous_entry != entry:
+            self.changes.put(QUEUE, previous_entry, None)
+        if entry is not None and previous_entry != entry:
             self.changes.put(QUEUE, entry, QueueRow(row.since_ms))
             self.timers.schedule_round(self.now_ms)
         self.changes.put(GANGS, name, row)
@@ -183,9 +183,9 @@
             reconcile_ms: When it is reconciled next, 0 for never; None leaves that as it is.
             **fields: The row's, by attribute.
         """
-        old = self.gang(name)
-        row = replace(old, **fields)
-        if row != old:
+        previous = self.gang(name)
+        row = replace(previous, **fields)
+        if row != previous:
             self.put_gang(name, row)
         if reconcile_ms is not None:
             self.timers.schedule_reconcile(name, reconcile_ms)
--- a/brookreach/simulation/gang_scheduling/baseline_policies.py
+++ b/brookreach/simulation/gang_scheduling/baseline_policies.py
@@ -11,10 +11,10 @@
 from brookreach.disruption.tables import NodeRow
 from brookreach.gang_scheduling import departures, migration, placement
 from brookreach.gang_scheduling.migration import Step, StepKind
-from brookreach.gang_scheduling.running_gang import MemberOnNode, MoveConditions, RunningGang
+from brookreach.gang_scheduling.running_gang import MemberOnNode, MigrationConditions, RunningGang
 from brookreach.simulation.gang_scheduling.defects import without_notices
 
-Decide = Callable[[RunningGang, Sequence[MemberOnNode], MoveConditions], Step]
+Decide = Callable[[RunningGang, Sequence[MemberOnNode], MigrationConditions], Step]
 Departure = Callable[[NodeRow | None, int], int]
 
 
@@ -66,7 +66,7 @@
     """Checkpoints at each notice as it is heard; the members stay until their node goes."""
     heard: set[_HeardNotice] = set()
 
-    def decide(gang: RunningGang, members: Sequence[MemberOnNode], conditions: MoveConditions) -> Step:
+    def decide(gang: RunningGang, members: Sequence[MemberOnNode], conditions: MigrationConditions) -> Step:
         coming = [member for member in members if member.departure_ms > gang.now_ms]
         fresh = {_HeardNotice(gang.name, member.node, member.departure_ms) for member in coming} - heard
         if fresh:
@@ -79,10 +79,10 @@
     return decide
 
 
-def _move_all(right: Decide) -> Decide:
+def _migrate_all(right: Decide) -> Decide:
     """Moves all members whenever one must."""
 
-    def decide(gang: RunningGang, members: Sequence[MemberOnNode], conditions: MoveConditions) -> Step:
+    def decide(gang: RunningGang, members: Sequence[MemberOnNode], conditions: MigrationConditions) -> Step:
         departures_ms = [
             member.departure_ms for member in members if member.departure_ms and member.departure_ms < gang.end_ms
         ]
@@ -101,6 +101,6 @@
         Patch(placement, "NodeCapacity", without_notices),
     ),
     "checkpoint at each notice": (Patch(migration, "decide", _checkpoint_at_each_notice),),
-    "never in part": (Patch(migration, "decide", _move_all),),
+    "never in part": (Patch(migration, "decide", _migrate_all),),
 }
 """By the name in the table; "piece" is gang scheduling as it is."""
--- a/brookreach/simulation/gang_scheduling/cluster_model.py
+++ b/brookreach/simulation/gang_scheduling/cluster_model.py
@@ -39,13 +39,13 @@
     """How a cluster is set up.
 
     Attributes:
-        max_moves: Permits granted at once.
+        max_migrations: Permits granted at once.
         lease_ms: Of agents' sessions.
         poll_ms: Between two rounds in which agents read their tasks again.
         has_faults: Whether links delay, double and lose messages.
     """
 
-    max_moves: int = 8
+    max_migrations: int = 8
     lease_ms: float = 3000.0
     poll_ms: float = 4000.0
     has_faults: bool = True
@@ -71,7 +71,7 @@
         self.has_faults = settings.has_faults
         self.nodes: dict[str, NodeModel] = {}
         self._events = EventQueue()
-        application = GangSchedulingApplication(PermitBudget(settings.max_moves))
+        application = GangSchedulingApplication(PermitBudget(settings.max_migrations))
         self.state = ReplicatedState(application, self._events, self.truth, self.lease_ms, self._send_tasks)
         self._poll_ms = settings.poll_ms
         self._polls = 0
--- a/brookreach/simulation/gang_scheduling/member_runtime.py
+++ b/brookreach/simulation/gang_scheduling/member_runtime.py
@@ -87,7 +87,7 @@
         for member in list(self._members.values()):
             self._end_member(member, reason)
 
-    def carry_out(self, action: NodeAction) -> None:
+    def execute(self, action: NodeAction) -> None:
         """Carries out an action of the agent's present process."""
         match action:
             case ExtendGrants(grant_until_ms=until_ms):
@@ -106,7 +106,7 @@
         cluster = self._cluster
         gang, number = action.key
         row = cluster.truth.gangs[gang]
-        saved = cluster.truth.saved_by_members(gang, action.epoch)
+        saved = cluster.truth.checkpointed_by_members(gang, action.epoch)
         record = IncarnationRecord(gang, number, self._node.name, action.fencing_token, action.epoch, cluster.now_ms)
         member = SimulatedMember(
             record, self._node.process, action.grant_until_ms, float(min(saved.values(), default=0))
@@ -153,7 +153,7 @@
             return
         truth, gang = self._cluster.truth, member.record.gang
         saved_ms = min(int(work_ms), truth.gangs[gang].work_ms)
-        truth.saved_work_ms.setdefault(CheckpointId(gang, epoch), {})[member.record.member] = saved_ms
+        truth.checkpointed_work_ms.setdefault(CheckpointId(gang, epoch), {})[member.record.member] = saved_ms
         self._node.notify_agent(GangAgent.on_checkpoint_saved, *member.key, epoch, saved_ms)
 
     def _end_by_grant(self, member: SimulatedMember) -> None:
@@ -173,4 +173,4 @@
         member.record.end_ms = self._cluster.now_ms
         member.record.end_reason = reason
         self._members.pop(member.key, None)
-        self._node.notify_agent(GangAgent.on_member_ended, *member.key, reason)
+        self._node.notify_agent(GangAgent.on_member_exited, *member.key, reason)
--- a/brookreach/simulation/gang_scheduling/permit_invariant.py
+++ b/brookreach/simulation/gang_scheduling/permit_invariant.py
@@ -24,7 +24,7 @@
     permits = _permits_by_gang_and_node(cluster)
     for key, records in by_member.items():
         for earlier, later in pairwise(records):
-            ended_ms = _moved_ms(cluster, earlier, later)
+            ended_ms = _migrated_ms(cluster, earlier, later)
             if ended_ms is None or not _was_complete(cluster, by_member, key.gang, ended_ms):
                 continue
             findings.checked(RULE)
@@ -47,7 +47,7 @@
     return permits
 
 
-def _moved_ms(cluster: ClusterModel, earlier: IncarnationRecord, later: IncarnationRecord) -> float | None:
+def _migrated_ms(cluster: ClusterModel, earlier: IncarnationRecord, later: IncarnationRecord) -> float | None:
     """Returns when a member was stopped to run on another node, its gang not done yet; None where it wasn't."""
     if earlier.end_ms is None or earlier.end_reason != "killed" or later.node == earlier.node:
         return None
--- a/brookreach/simulation/gang_scheduling/process_drill.py
+++ b/brookreach/simulation/gang_scheduling/process_drill.py
@@ -33,7 +33,7 @@
 MIN_NODES = 4
 MAX_NODES = 8
 NODE_CAPACITY = 4
-MAX_MOVES = 8
+MAX_MIGRATIONS = 8
 WORK_MS = 6_000
 CHECKPOINT_COST_MS = 100
 RESTORE_COST_MS = 150
@@ -136,7 +136,7 @@
             cluster.began = anyio.current_time()
             tasks.start_soon(cluster.listen)
             tasks.start_soon(self.operator.dial.run)
-            budget = commands.SetBudgets((commands.BudgetFor("node", "all", MAX_MOVES, 0),))
+            budget = commands.SetBudgets((commands.BudgetFor("node", "all", MAX_MIGRATIONS, 0),))
             await self.operator.agreed("outages", budget, START_S)
             if await cluster.until(fleet.are_agents_registered, "the town begins", START_S, fleet.describe):
                 await self.run_background_work(tasks)
@@ -183,7 +183,7 @@
         logs = read_node_logs(cluster.folder / LOG_FOLDER, fleet.kills_ms, anyio.current_time() * 1000.0)
         check_node_logs(cluster, logs, fleet.member_counts, fleet.pauses)
         self._check_all_worked(logs)
-        self._count_moves(logs)
+        self._count_migrations(logs)
         await self.after_gangs_end()
         self.check_outcome()
         cluster.count("gangs", len(fleet.member_counts))
@@ -199,7 +199,7 @@
                 has_worked = (gang, number) in worked
                 self.cluster.look("all members worked", has_worked or not is_expected, lambda gang=gang: gang)
 
-    def _count_moves(self, logs: NodeLogs) -> None:
+    def _count_migrations(self, logs: NodeLogs) -> None:
         for spans in logs.spans.values():
             for span in spans:
                 left_by_ms = self.fleet.left_by_ms.get(span.node)
--- a/brookreach/simulation/gang_scheduling/replicated_state.py
+++ b/brookreach/simulation/gang_scheduling/replicated_state.py
@@ -41,8 +41,8 @@
 
 def _changes_tasks(before: GangRow, after: GangRow) -> bool:
     """Returns whether nodes' tasks may differ after a change of a gang's row."""
-    old = before.state, before.requested_epoch, before.plan_index
-    return old != (after.state, after.requested_epoch, after.plan_index)
+    previous = before.state, before.requested_epoch, before.plan_index
+    return previous != (after.state, after.requested_epoch, after.plan_index)
 
 
 class ReplicatedState:
