--- a/brookreach/charts.py
+++ b/brookreach/charts.py
@@ -81,3 +81,27 @@
         self.level = max(0.0, self.level + size)
         if self.level == 0.0:
             self.added.clear()
+
+
+def trust_earned(charts: dict[tuple[int, str], Chart], need: float, methods: int, few: bool, seen: int) -> bool:
+    """Whether the charts by (method, stream) speak for the build by `need`, over all methods and in each one.
+
+    `seen` outcomes are this balancer's own; where `few` are seen the tallied charts are asked.
+    """
+    failed, slow = ("tallied failures", "tallied speed") if few else ("failures", "speed")
+    rare = 0 if few else seen // (3 * methods)  # would take too long
+    own = {
+        kind: [
+            chart.trust
+            for (method, stream), chart in charts.items()
+            if stream == kind and method != ALL and chart.seen >= rare
+        ]
+        for kind in (failed, slow)
+    }
+    fast = (need if few else need / methods) if own[slow] else 0.0  # few: all times are tallied
+    return (
+        bool(own[failed])
+        and sum(own[failed]) <= -need
+        and max(own[failed]) <= -need / methods
+        and (sum(own[slow]) <= -fast)
+    )
--- a/brookreach/scale/marshal_work.py
+++ b/brookreach/scale/marshal_work.py
@@ -12,9 +12,9 @@
 from typing import Any
 
 import brookreach
-from brookreach import charts, decide, desk, judge, parts, roster
+from brookreach import charts, decide, desk, judge, node_times, parts, roster, tallies, thresholds
 
-MODULES = (decide, desk, roster, judge, charts, parts)
+MODULES = (decide, desk, roster, judge, charts, thresholds, node_times, tallies, parts)
 
 
 class NotCountable(Exception):
--- a/brookreach/verdict/chain.py
+++ b/brookreach/verdict/chain.py
@@ -15,7 +15,7 @@
 import numpy as np
 from numpy.typing import NDArray
 
-from brookreach.judge import ENOUGH, failure_step, rank, rank_step
+from brookreach.charts import ENOUGH, failure_step, rank, rank_step
 
 Steps = Sequence[tuple[float, float]]
 """(size, probability) of one outcome's step; the probabilities add up to 1."""
--- a/brookreach/verdict/plan.py
+++ b/brookreach/verdict/plan.py
@@ -13,7 +13,8 @@
 from dataclasses import replace
 
 from brookreach import interface as ifc
-from brookreach.judge import FLOOR, RISE, WARM_UP_MS, Judge
+from brookreach.charts import FLOOR, RISE, WARM_UP_MS
+from brookreach.judge import Judge
 from brookreach.verdict.chain import Chain, failure_steps, mean_and_root, siegmund, speed_steps
 from brookreach.verdict.plan_records import Effect, Plan, PlanError, Seen, Stage, check, check_number
 
@@ -32,7 +33,7 @@
 
 def failing_threshold(judge: Judge, seen: Seen) -> float:
     """Of the failures charts: they climb from a failure only, so they stand lower by the rate of failures."""
-    return judge.threshold + math.log(max([FLOOR, *seen.failures]))
+    return judge.thresholds.own + math.log(max([FLOOR, *seen.failures]))
 
 
 def stages_of(start: ifc.Start, judge: Judge, seen: Seen) -> tuple[Stage, ...]:
@@ -45,7 +46,7 @@
         opens = shares[min(at + 1, len(shares) - 1)]
         least = BOOT_MS + WARM_UP_MS
         last = at + 1 == len(shares)
-        most = least + (1000.0 if last else judge.wait_ms * opens)
+        most = least + (1000.0 if last else judge.thresholds.wait_ms * opens)
         cap = start.exposure.caps[min(at, len(start.exposure.caps) - 1)] if start.exposure.caps else share
         gets = min(share, cap)
         # While the stage's machines start, the share of the stage before goes on.
@@ -73,12 +74,12 @@
     kept = 1.0
     overall = math.fsum(share * rate for share, rate in zip(seen.shares, seen.failures, strict=True))
     streams = [(share, rate, RISE) for share, rate in zip(seen.shares, seen.failures, strict=True)]
-    streams.append((1.0, overall, judge.rise))
+    streams.append((1.0, overall, judge.thresholds.rise))
     weight, failing = (1.0 - seen.alike) ** 2, failing_threshold(judge, seen)
     for share, rate, rise in streams:
         own = outcomes * share
         kept *= 1.0 - _crossed(failure_steps(rate, max(FLOOR, rate), rise), failing, own)
-        kept *= 1.0 - _crossed(speed_steps(1.0, seen.spread, weight), judge.threshold, own)
+        kept *= 1.0 - _crossed(speed_steps(1.0, seen.spread, weight), judge.thresholds.own, own)
     return 1.0 - kept**start.place.marshals
 
 
@@ -95,21 +96,21 @@
     names = [method.name for method in start.methods]
     overall = math.fsum(s * r for s, r in zip(seen.shares, seen.failures, strict=True))
     charts: list[tuple[list[tuple[float, float]], float]] = []  # steps, outcomes of one marshal
-    limit = judge.threshold if what == "work" else failing_threshold(judge, seen)
+    limit = judge.thresholds.own if what == "work" else failing_threshold(judge, seen)
     if what == "work":
         steps = speed_steps(size, seen.spread, (1.0 - seen.alike) ** 2)
         charts.append((steps, outcomes))
         shift = math.log(size) / seen.spread
         bound = limit / max(1e-12, 0.5 * shift * shift)
     elif what == "all":
-        charts.append((failure_steps(min(1.0, overall + size), max(FLOOR, overall), judge.rise), outcomes))
+        charts.append((failure_steps(min(1.0, overall + size), max(FLOOR, overall), judge.thresholds.rise), outcomes))
         bound = _bound(size, max(FLOOR, overall), limit)
     else:
         at = names.index(what)
         rate, share = seen.failures[at], seen.shares[at]
         charts.append((failure_steps(min(1.0, rate + size), max(FLOOR, rate), RISE), outcomes * share))
         mixed = min(1.0, overall + share * size)
-        charts.append((failure_steps(mixed, max(FLOOR, overall), judge.rise), outcomes))
+        charts.append((failure_steps(mixed, max(FLOOR, overall), judge.thresholds.rise), outcomes))
         bound = _bound(size, max(FLOOR, rate), limit) / max(1e-9, share)
     alarm = max(_crossed(steps, limit, own) for steps, own in charts)
     # The best chart's own time, in outcomes of the marshal over all methods.
@@ -148,15 +149,15 @@
     charts = 2 * (len(names) + 1)
     # Wald's bound: a chance of exp(-threshold) a climb, over all charts and marshals. A failures chart's
     # climbs begin with a failure, a speed chart's with any outcome.
-    bound = min(1.0, charts * outcomes * start.place.marshals * math.exp(-judge.threshold))
+    bound = min(1.0, charts * outcomes * start.place.marshals * math.exp(-judge.thresholds.own))
     return Plan(
         start.stated,
         start.place.marshals,
-        judge.threshold,
+        judge.thresholds.own,
         failing_threshold(judge, seen),
-        judge.shared,
-        judge.rise,
-        judge.trust,
+        judge.thresholds.tallied,
+        judge.thresholds.rise,
+        judge.thresholds.trust,
         stages,
         alarm,
         bound,
--- a/brookreach/verdict/replay.py
+++ b/brookreach/verdict/replay.py
@@ -12,7 +12,8 @@
 import msgspec
 
 from brookreach import interface as ifc
-from brookreach.judge import NEVER_RAN, Judge
+from brookreach.charts import NEVER_RAN
+from brookreach.judge import Judge
 from brookreach.verdict.notes import Note, Wave
 
 
@@ -109,7 +110,7 @@
             elif isinstance(act, ifc.LogLine) and act.text.startswith(f"back {wave.build}:") and not found.crossed:
                 found.crossed, found.crossed_ms = act.text, note.now - offered
         acts.clear()
-    found.threshold = judge.threshold
+    found.threshold = judge.thresholds.own
     found.trust = {chart_name(wave, key): chart.trust for key, chart in judge.charts.items()}
     return found
 
--- a/brookreach/xds/assign.py
+++ b/brookreach/xds/assign.py
@@ -19,8 +19,8 @@
 from collections.abc import Mapping, Sequence
 
 from brookreach import interface as ifc
+from brookreach.charts import on_trial, warmth
 from brookreach.decide import COLD_PART
-from brookreach.judge import on_trial, warmth
 from brookreach.xds.records import Assignment, ClusterSet, Endpoint, NodeView, ProxyUse, RouteSet, Seat, View
 
 Z = 4.0  # of the normal: one window in 30,000 by chance, at the worst N
