--- a/brookreach/capacity/measure_anew.py
+++ b/brookreach/capacity/measure_anew.py
@@ -32,7 +32,7 @@
         name, target = f"old{number}", f"n{number % nodes}"
         draft.put(PERMITS, name, PermitRow("drain", target, "op", 5, WALL, "ended", 1, WALL, WALL, 1, "work"))
         deadlines.at(draft, WALL + KEEP_MS + number, deadlines.FORGET, name)
-    machine.view.take(draft.updates())
+    machine.view.apply_updates(draft.updates())
     fresh = StateMachine(load_applications())
     fresh.restore(machine.snapshot())
     return fresh
--- a/brookreach/carbon_aware/application.py
+++ b/brookreach/carbon_aware/application.py
@@ -48,7 +48,7 @@
 class Power:
     name = "power"
     version = orders.VERSION
-    orders: Any = orders.ORDERS
+    commands: Any = orders.ORDERS
     tables: Mapping[str, type[Row]] = {
         SCHEDULES: SpanRow,
         CURRENT: CurrentRow,
@@ -102,7 +102,7 @@
         draft = StagedChanges(view)
         held: HoldRow | None = view.get(HOLDS, context.client)
         if held is not None and held.session == context.session:
-            draft.take(reservations.release(view, context.client))
+            draft.apply_updates(reservations.release(view, context.client))
         for key, one in view.rows(DRAFTS):
             if one.session == context.session and one.by == context.client:
                 _clear(draft, key)
@@ -244,4 +244,4 @@
         spans = [one for one in held.spans if one[1] != order.slot]
     given = zone_preference.granted(draft, context.now_ms, context.client, order.slot, order.calls, order.zones)
     spans += [(zone, order.slot, order.slot + 1, part) for zone, part in given.items()]
-    draft.take(reservations.replace(draft, context.now_ms, context.client, spans, context.session, calls=True))
+    draft.apply_updates(reservations.replace(draft, context.now_ms, context.client, spans, context.session, calls=True))
--- a/brookreach/coordination/client/cache.py
+++ b/brookreach/coordination/client/cache.py
@@ -12,9 +12,10 @@
 from typing import Any
 
 from brookreach.coordination.client.events import RowsChanged, RowUnreadable
+from brookreach.coordination.errors import InvalidRowError, RowTooLargeError
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.state_machine.application import Row, RowUpdate
-from brookreach.coordination.state_machine.tables import SUM, InvalidRowError, RowTooLargeError, Tables, trace
+from brookreach.coordination.state_machine.tables import ROW_DIGEST_BYTES, Tables, row_digest
 
 MOST_STAGED = 1 << 20  # rows of a whole
 OLDER = 3  # wholes older than what is held, each in answer to a new Watch, until one is believed
@@ -101,8 +102,8 @@
     def whole(self, message: messages.WatchSnapshot) -> list[RowsChanged | RowUnreadable]:
         self._not_twice(message)
         staged = self._staged
-        if message.nth:
-            if staged is None or message.index != staged.index or message.nth != staged.parts:
+        if message.part:
+            if staged is None or message.index != staged.index or message.part != staged.parts:
                 raise self._misfit("parts out of order")
             rows = list(message.rows)
             self._watched(rows)
@@ -167,7 +168,7 @@
         self, rows: list[messages.RowChange], total: bytes | None, index: int, whole: bool
     ) -> list[RowsChanged | RowUnreadable]:
         """All of it, if then the sum is as told; else nothing has changed."""
-        before = [self._tables.standing(one.table, one.key) for one in rows]
+        before = [self._tables.stored(one.table, one.key) for one in rows]
         unread, traces = dict(self.unread), dict(self._traces)
         made, events = [], list[RowsChanged | RowUnreadable]()
         for one in rows:
@@ -175,15 +176,15 @@
             self.unread.pop(place, None)
             self._traces.pop(place, None)
             try:
-                made.append(self._tables.read(one.table, one.key, one.octets))
+                made.append(self._tables.decode(one.table, one.key, one.octets))
             except (InvalidRowError, RowTooLargeError) as error:  # what stood there is no longer so
-                self.unread[place], self._traces[place] = str(error), trace(one)
+                self.unread[place], self._traces[place] = str(error), row_digest(one)
                 made.append((None, messages.RowChange(one.table, one.key, None)))
                 events.append(RowUnreadable(one.table, one.key, str(error)))
-        moved = self._tables.lay(made)
-        ours = sum(self._tables.sums.values()) + sum(self._traces.values())
-        if (ours % (1 << 8 * SUM)).to_bytes(SUM, "big") != total:
-            self._tables.lay(before)
+        moved = self._tables.write(made)
+        ours = sum(self._tables.digest_sums.values()) + sum(self._traces.values())
+        if (ours % (1 << 8 * ROW_DIGEST_BYTES)).to_bytes(ROW_DIGEST_BYTES, "big") != total:
+            self._tables.write(before)
             self.unread, self._traces = unread, traces
             raise self._misfit("other sum")
         puts = tuple(RowUpdate(one.table, one.key, self.get(one.table, one.key)) for one in moved)
--- a/brookreach/coordination/client/client.py
+++ b/brookreach/coordination/client/client.py
@@ -206,12 +206,12 @@
         renews, asks = self._lease.flies(message.seq), self._asks.flies(message.seq)
         if message.seq and not renews and not asks:
             self.refusals["unknown seq"] += 1
-        elif message.why in ("not leader", "ending"):
+        elif message.reason in ("not leader", "ending"):
             known = message.leader != self.keeper and self._seek.knows(message.leader)
             if message.leader and not known:
                 self.refusals["unknown keeper"] += 1
-            self._move(now, message.leader if known else "", message.come_back_ms)
-        elif message.why == "no session":
+            self._move(now, message.leader if known else "", message.retry_after_ms)
+        elif message.reason == "no session":
             if self.session:
                 self._lose(now, "the group ended it", told=True)
             else:
@@ -220,16 +220,16 @@
             self._hear_not_asked(now, message)
         elif renews:
             self._answer_by = None
-            self._lease.put_off(now, message.come_back_ms)
-        elif message.why == "busy" and not self.joined:
-            self._move(now, self.keeper, max(1, message.come_back_ms))
+            self._lease.put_off(now, message.retry_after_ms)
+        elif message.reason == "busy" and not self.joined:
+            self._move(now, self.keeper, max(1, message.retry_after_ms))
         else:
             self._hear_turned_away(now, message)
 
     def _hear_turned_away(self, now: float, message: messages.RequestRejected) -> None:
         """About a Watch, where it has joined, else a Join."""
-        if message.why != "busy":
-            self._news.append(events.ClientRejected(message.why, message.text))
+        if message.reason != "busy":
+            self._news.append(events.ClientRejected(message.reason, message.text))
         if self.joined:
             self._watching.sorry(now, message)
         else:
--- a/brookreach/coordination/client/connection.py
+++ b/brookreach/coordination/client/connection.py
@@ -17,9 +17,17 @@
 
 from brookreach.coordination.client.client import Client
 from brookreach.coordination.client.events import ClientEvent
+from brookreach.coordination.errors import FrameTooLongError, InvalidFrameError
 from brookreach.coordination.protocol import frames as seal
 from brookreach.coordination.protocol import messages
-from brookreach.coordination.protocol.stream import BOUNDS, LOST, Bounds, Inbox, Line, TooLong, frames
+from brookreach.coordination.protocol.stream import (
+    CONNECTION_ERRORS,
+    DEFAULT_LIMITS,
+    ConnectionLimits,
+    Inbox,
+    SendQueue,
+    read_frames,
+)
 
 MOST_REST_S = 5.0  # a clock that stands still is looked at again
 
@@ -32,7 +40,7 @@
 class ReplicaConnection:
     """One connection to a keeper, from before it stands."""
 
-    def __init__(self, keeper: str, line: Line):
+    def __init__(self, keeper: str, line: SendQueue):
         self.keeper, self.line, self.over = keeper, line, False
 
 
@@ -46,17 +54,17 @@
         key: bytes,
         keepers: Mapping[str, tuple[str, int]],
         told: Callable[[ClientEvent], object],
-        bounds: Bounds = BOUNDS,
+        bounds: ConnectionLimits = DEFAULT_LIMITS,
     ):
         self.client, self.group, self.key, self.keepers = client, group, key, keepers
         self.told, self.bounds = told, bounds
-        self.inbox = Inbox(bounds.inbox)
+        self.inbox = Inbox(bounds.max_inbox_messages)
         self.call: ReplicaConnection | None = None
         self.refused: Counter[str] = Counter()
 
     def stir(self) -> None:
         """The client was asked something by another task."""
-        self.inbox.came.set()
+        self.inbox.arrived.set()
 
     async def run(self) -> None:
         """Until cancelled."""
@@ -100,23 +108,25 @@
         """A Join is the first on its connection; what was said before is still written on the one before."""
         if self.call is not None:
             self.call.line.finish()
-        self.inbox.keepers.clear()
-        self.call = ReplicaConnection(keeper, Line(self.bounds.to_client, False, self.bounds.stalled_s))
+        self.inbox.from_replicas.clear()
+        self.call = ReplicaConnection(
+            keeper, SendQueue(self.bounds.max_client_queue_bytes, False, self.bounds.send_timeout_s)
+        )
         tasks.start_soon(self._connect, self.call)
 
     async def _connect(self, call: ReplicaConnection) -> None:
         try:
-            with anyio.fail_after(self.bounds.dial_s):
+            with anyio.fail_after(self.bounds.connect_timeout_s):
                 stream = await anyio.connect_tcp(*self.keepers[call.keeper])
             async with stream, anyio.create_task_group() as tasks:
                 tasks.start_soon(partial(self._write, call, stream, tasks.cancel_scope))
                 await self._read(call, stream)
                 tasks.cancel_scope.cancel()
-        except* LOST:
+        except* CONNECTION_ERRORS:
             pass
         finally:
             call.over = True
-            self.inbox.came.set()
+            self.inbox.arrived.set()
 
     async def _write(self, call: ReplicaConnection, stream: anyio.abc.ByteStream, scope: anyio.CancelScope) -> None:
         await call.line.write(stream)
@@ -125,17 +135,17 @@
     async def _read(self, call: ReplicaConnection, stream: anyio.abc.ByteStream) -> None:
         """Until it ends, or says what no keeper can."""
         try:
-            async for octets in frames(stream, messages.MAX_FRAME_BYTES):
+            async for octets in read_frames(stream, messages.MAX_FRAME_BYTES):
                 try:
                     frame = seal.open_frame(self.key, self.group, self.client.name, octets, messages.SERVER_MESSAGES)
                     if frame.source != call.keeper:
-                        raise messages.InvalidFrameError("not its to say", f"{frame.source} where {call.keeper} speaks")
-                except messages.InvalidFrameError as error:
+                        raise InvalidFrameError("not its to say", f"{frame.source} where {call.keeper} speaks")
+                except InvalidFrameError as error:
                     self.refused[error.name] += 1
                     if error.name == "bad seal":
                         return
                     continue
                 if self.call is call:
-                    await self.inbox.put(self.inbox.keepers, frame.source, frame.body)
-        except TooLong:
+                    await self.inbox.put(self.inbox.from_replicas, frame.source, frame.body)
+        except FrameTooLongError:
             self.refused["too long"] += 1
--- a/brookreach/coordination/client/requests.py
+++ b/brookreach/coordination/client/requests.py
@@ -18,7 +18,7 @@
 from brookreach.coordination.ports import Timing
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.state_machine.application import Command
-from brookreach.coordination.state_machine.sessions import SPARE
+from brookreach.coordination.state_machine.sessions import ENTRY_OVERHEAD_BYTES
 
 MOST_ASKS = 64
 
@@ -54,8 +54,10 @@
 
     def add(self, piece: str, version: int, order: Command) -> int:
         body = _out.encode(order)
-        if len(body) > messages.MAX_COMMAND_BYTES - SPARE:
-            raise ValueError(f"an order of {len(body)} bytes; {messages.MAX_COMMAND_BYTES - SPARE} are allowed")
+        if len(body) > messages.MAX_COMMAND_BYTES - ENTRY_OVERHEAD_BYTES:
+            raise ValueError(
+                f"an order of {len(body)} bytes; {messages.MAX_COMMAND_BYTES - ENTRY_OVERHEAD_BYTES} are allowed"
+            )
         if len(self._queue) >= self._most:
             raise TooManyRequestsError(f"{len(self._queue)} questions wait for the group; {self._most} are allowed")
         self._count += 1
@@ -85,12 +87,12 @@
         """None: it is asked again. That it was refused before it got into the log is believed at the second
         time: the first may be about another question that once had the number."""
         one = self._queue[0]
-        if message.why == "busy":
+        if message.reason == "busy":
             one.flying = False
-            self._at = now + self._pauses.next(self._again, message.come_back_ms)
+            self._at = now + self._pauses.next(self._again, message.retry_after_ms)
             return None
-        if message.why not in ("refused", "too new") or one.doubtful:
-            raise RequestOutOfOrderError(f"{message.why}: {message.text}")
+        if message.reason not in ("refused", "too new") or one.doubtful:
+            raise RequestOutOfOrderError(f"{message.reason}: {message.text}")
         one.refusals += 1
         if one.refusals < 2:
             one.flying, self._at = False, None
--- a/brookreach/coordination/client/watch.py
+++ b/brookreach/coordination/client/watch.py
@@ -59,8 +59,8 @@
     def sorry(self, now: float, message: messages.RequestRejected) -> None:
         if self._at is None:
             self._refusals["not asked"] += 1
-        elif message.why == "busy":
-            self._at = now + self._pauses.next(self._lease, message.come_back_ms)
+        elif message.reason == "busy":
+            self._at = now + self._pauses.next(self._lease, message.retry_after_ms)
         else:  # another keeper, or this one once it is of another version, may know what it names
             self._at = now + WAIT * self._lease
 
--- /dev/null
+++ b/brookreach/coordination/errors.py
@@ -0,0 +1,45 @@
+"""Errors of the coordination package: one hierarchy below `CoordinationError`.
+
+An error that tells of a value from outside says which value it was and what is allowed.
+"""
+
+from __future__ import annotations
+
+
+class CoordinationError(Exception):
+    """Base class of every error that the coordination package raises."""
+
+
+class CommandRejectedError(CoordinationError):
+    """The state does not allow a command. The text is for the operator or client that proposed it.
+
+    It is part of the replicated state (the proposal's answer), so it is the same on every replica.
+    """
+
+
+class ReplicaHaltedError(CoordinationError):
+    """A replica can't go on from its log or from a snapshot; its process ends instead of skipping an entry."""
+
+
+class RowTooLargeError(CoordinationError):
+    """A row or key that no message can carry. The command that would store it is rejected."""
+
+
+class InvalidRowError(CoordinationError):
+    """A row that is not of its table's type: a defect of an application, or data of a later version."""
+
+
+class InvalidFrameError(CoordinationError, ValueError):
+    """A frame or message that is dropped without any effect.
+
+    Attributes:
+        name: One of `protocol.messages.INVALID_FRAME_REASONS`, by which such frames are counted.
+    """
+
+    def __init__(self, name: str, text: str):
+        super().__init__(f"{name}: {text}")
+        self.name = name
+
+
+class FrameTooLongError(CoordinationError):
+    """A length prefix that no frame has: where the next frame begins can't be known, so the connection ends."""
--- a/brookreach/coordination/ports.py
+++ b/brookreach/coordination/ports.py
@@ -88,11 +88,11 @@
 class LogRecord(msgspec.Struct, frozen=True, forbid_unknown_fields=True, array_like=True):
     """A record as it stands in an entry's octets: whose it is, who asked, at which agreed time."""
 
-    piece: messages.Name
+    application: messages.Name
     version: messages.Count
     at_ms: messages.Count
-    by: str  # the client's name, or "" for the group itself
-    kind: str
+    client: str  # the client's name, or "" for the group itself
+    client_kind: str
     session: messages.Count
     seq: messages.Count
     body: messages.Record  # one Order of the piece, in msgpack
@@ -108,4 +108,4 @@
     ok: bool
     text: str
     changes: tuple[messages.RowChange, ...]
-    why: messages.RejectionReason | None = None  # not taken as a record at all: the client hears Sorry, not Done
+    rejection: messages.RejectionReason | None = None  # not taken as a record at all: the client hears Sorry, not Done
--- a/brookreach/coordination/protocol/frames.py
+++ b/brookreach/coordination/protocol/frames.py
@@ -11,14 +11,8 @@
 
 import msgspec
 
-from brookreach.coordination.protocol.messages import (
-    ALL_MESSAGES,
-    MAX_FRAME_BYTES,
-    Body,
-    Count,
-    InvalidFrameError,
-    Name,
-)
+from brookreach.coordination.errors import InvalidFrameError
+from brookreach.coordination.protocol.messages import ALL_MESSAGES, MAX_FRAME_BYTES, Body, Count, Name
 from brookreach.coordination.protocol.tags import wire_name
 
 VERSION = 1  # of frames; records have versions of their own
--- a/brookreach/coordination/protocol/messages.py
+++ b/brookreach/coordination/protocol/messages.py
@@ -26,14 +26,6 @@
 RejectionReason = Literal["not leader", "busy", "no session", "too new", "refused", "out of order", "ending"]
 
 
-class InvalidFrameError(ValueError):
-    """A frame or message without effect. `name` is one of `INVALID_FRAME_REASONS`."""
-
-    def __init__(self, name: str, text: str):
-        super().__init__(f"{name}: {text}")
-        self.name = name
-
-
 INVALID_FRAME_REASONS = (
     "too long",
     "bad seal",
@@ -61,19 +53,19 @@
 
 
 class RequestVote(Message, tag="AskVote"):
-    """`trial`: asked before the term is raised. `handed`: the leader itself asked for this election."""
+    """`pre_vote`: asked before the term is raised. `leadership_transfer`: the leader itself asked for this election."""
 
     term: Count
     last_index: Count
     last_term: Count
-    trial: bool
-    handed: bool
+    pre_vote: bool
+    leadership_transfer: bool
 
 
 class RequestVoteReply(Message, tag="Vote"):
     term: Count
-    trial: bool
-    given: bool
+    pre_vote: bool
+    vote_granted: bool
     wall_ms: Count  # the voter's clock: a new leader's time begins at the low median
 
 
@@ -83,7 +75,7 @@
     term: Count
     prev_index: Count
     prev_term: Count
-    commit: Count
+    commit_index: Count
     round: Count
     entries: Annotated[tuple[Entry, ...], msgspec.Meta(max_length=MAX_ENTRIES)]
 
@@ -139,7 +131,7 @@
 
     session: Count
     seq: Count
-    piece: Name
+    application: Name
     version: Count
     body: Record
 
@@ -220,7 +212,7 @@
     """The watched tables as of `index`, in parts; what is in none of them is gone."""
 
     index: Count
-    nth: Count
+    part: Count
     last: bool
     rows: Annotated[tuple[RowChange, ...], msgspec.Meta(max_length=MAX_ROWS)]
 
@@ -229,10 +221,10 @@
     """Not done, and never will be under this question unless asked again."""
 
     seq: Count
-    why: RejectionReason
+    reason: RejectionReason
     text: Text
     leader: Annotated[str, msgspec.Meta(max_length=64)]
-    come_back_ms: Count
+    retry_after_ms: Count
 
 
 REPLICA_MESSAGES = (
--- a/brookreach/coordination/protocol/stream.py
+++ b/brookreach/coordination/protocol/stream.py
@@ -14,78 +14,80 @@
 import anyio.abc
 import anyio.lowlevel
 
+from brookreach.coordination.errors import FrameTooLongError
 from brookreach.coordination.protocol import messages
 
-HEAD = 4  # bytes of length
-LOST = (OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)  # and TimeoutError
+LENGTH_PREFIX_BYTES = 4  # bytes of length
+CONNECTION_ERRORS = (
+    OSError,
+    anyio.EndOfStream,
+    anyio.BrokenResourceError,
+    anyio.ClosedResourceError,
+)  # and TimeoutError
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class ConnectionLimits:
     """Of one process's sockets. Bytes are those that wait to be written on one connection."""
 
-    clients: int = 2048
-    strangers: int = 256  # connections that have not said a frame yet
-    hello_s: float = 2.0  # within which they have to
-    dial_s: float = 1.0
-    stalled_s: float = 5.0  # a peer that takes nothing for so long has gone
-    asked: int = messages.MAX_COMMAND_BYTES + 4096  # the longest frame of a client
-    to_client: int = 4 << 20  # past it the client is cut off: it comes again and is told the whole
-    behind: int = 512 << 10  # past it nothing more of what it watches is put there
-    to_keeper: int = 8 << 20  # past it the oldest is dropped: what it said is said again
-    inbox: int = 1024  # messages heard and not yet handled; past it nothing is read
-    again_s: float = 0.05  # the first pause before a connection that failed is made again; it doubles
-    again_most_s: float = 1.0
+    max_clients: int = 2048
+    max_unidentified: int = 256  # connections that have not said a frame yet
+    handshake_timeout_s: float = 2.0  # within which they have to
+    connect_timeout_s: float = 1.0
+    send_timeout_s: float = 5.0  # a peer that takes nothing for so long has gone
+    max_client_frame_bytes: int = messages.MAX_COMMAND_BYTES + 4096  # the longest frame of a client
+    max_client_queue_bytes: int = 4 << 20  # past it the client is cut off: it comes again and is told the whole
+    watch_pause_bytes: int = 512 << 10  # past it nothing more of what it watches is put there
+    max_replica_queue_bytes: int = 8 << 20  # past it the oldest is dropped: what it said is said again
+    max_inbox_messages: int = 1024  # messages heard and not yet handled; past it nothing is read
+    reconnect_delay_s: float = 0.05  # the first pause before a connection that failed is made again; it doubles
+    max_reconnect_delay_s: float = 1.0
 
 
-BOUNDS = Bounds()
+DEFAULT_LIMITS = ConnectionLimits()
 
 
-class TooLong(Exception):
-    """A length that no frame has: where the next one begins can't be known."""
-
-
-async def frames(stream: anyio.abc.ByteStream, most: int) -> AsyncIterator[bytes]:
+async def read_frames(stream: anyio.abc.ByteStream, most: int) -> AsyncIterator[bytes]:
     """Frames as they come, until the stream ends; raises TooLong, and what the stream raises."""
     held = bytearray()
     while True:
-        while len(held) >= HEAD:
-            size = int.from_bytes(held[:HEAD], "big")
+        while len(held) >= LENGTH_PREFIX_BYTES:
+            size = int.from_bytes(held[:LENGTH_PREFIX_BYTES], "big")
             if size > most:
-                raise TooLong(f"{size} bytes; {most} are allowed")
-            if len(held) < HEAD + size:
+                raise FrameTooLongError(f"{size} bytes; {most} are allowed")
+            if len(held) < LENGTH_PREFIX_BYTES + size:
                 break
-            frame = bytes(held[HEAD : HEAD + size])
-            del held[: HEAD + size]
+            frame = bytes(held[LENGTH_PREFIX_BYTES : LENGTH_PREFIX_BYTES + size])
+            del held[: LENGTH_PREFIX_BYTES + size]
             yield frame
         held += await stream.receive()
 
 
-class Line:
+class SendQueue:
     """What waits to be written on one connection, which may not stand yet."""
 
     def __init__(self, most: int, drops: bool, stalled_s: float):
         self.most, self.drops, self.stalled_s = most, drops, stalled_s
         self.waiting: deque[bytes] = deque()
-        self.held = self.dropped = 0  # bytes, those being written among them; frames
-        self.cut = self.last = False
+        self.pending_bytes = self.dropped_frames = 0  # bytes, those being written among them; frames
+        self.aborted = self.finished = False
         self.wake = anyio.Event()
         self.sending: anyio.CancelScope | None = None
 
     def put(self, frame: bytes) -> bool:
         """False where it is full and drops nothing."""
-        octets = len(frame).to_bytes(HEAD, "big") + frame
-        if self.held + len(octets) > self.most and not self.drops:
+        octets = len(frame).to_bytes(LENGTH_PREFIX_BYTES, "big") + frame
+        if self.pending_bytes + len(octets) > self.most and not self.drops:
             return False
-        while self.waiting and self.held + len(octets) > self.most:
-            self.held -= len(self.waiting.popleft())
-            self.dropped += 1
+        while self.waiting and self.pending_bytes + len(octets) > self.most:
+            self.pending_bytes -= len(self.waiting.popleft())
+            self.dropped_frames += 1
         self.waiting.append(octets)
-        self.held += len(octets)
+        self.pending_bytes += len(octets)
         self.wake.set()
         return True
 
-    async def filled(self) -> None:
+    async def wait_for_frames(self) -> None:
         """Until there is something to write."""
         while not self.waiting:
             self.wake = anyio.Event()
@@ -94,9 +96,9 @@
     async def write(self, stream: anyio.abc.ByteStream) -> None:
         """Until all is written that came before `finish`; raises one of LOST where the connection ends, is
         stalled or cut off."""
-        while not self.cut:
+        while not self.aborted:
             if not self.waiting:
-                if self.last:
+                if self.finished:
                     return
                 self.wake = anyio.Event()
                 await self.wake.wait()  # what is put, or an end
@@ -107,17 +109,17 @@
                 await stream.send(octets)
             if self.sending.cancelled_caught:
                 break
-            self.held -= len(octets)
-        raise TimeoutError("cut off" if self.cut else f"it took nothing for {self.stalled_s} s")
+            self.pending_bytes -= len(octets)
+        raise TimeoutError("cut off" if self.aborted else f"it took nothing for {self.stalled_s} s")
 
     def finish(self) -> None:
         """Nothing more is put."""
-        self.last = True
+        self.finished = True
         self.wake.set()
 
-    def end(self) -> None:
+    def abort(self) -> None:
         """The writer raises at its next turn, and so ends the connection."""
-        self.cut = True
+        self.aborted = True
         self.wake.set()
         if self.sending is not None:
             self.sending.cancel()
@@ -129,28 +131,28 @@
 
     def __init__(self, most: int):
         self.most = most
-        self.keepers: deque[tuple[str, messages.Body]] = deque()
-        self.clients: deque[tuple[str, messages.Body]] = deque()
-        self.came, self.room = anyio.Event(), anyio.Event()
+        self.from_replicas: deque[tuple[str, messages.Body]] = deque()
+        self.from_clients: deque[tuple[str, messages.Body]] = deque()
+        self.arrived, self.room = anyio.Event(), anyio.Event()
 
     async def put(self, queue: deque[tuple[str, messages.Body]], source: str, body: messages.Body) -> None:
         while len(queue) >= self.most:
             await self.room.wait()
         queue.append((source, body))
-        self.came.set()
+        self.arrived.set()
 
     def take(self, most: int) -> list[tuple[str, messages.Body]]:
         """All of the keepers', then so many of the clients'."""
-        told = list(self.keepers)
-        self.keepers.clear()
-        told += [self.clients.popleft() for _ in range(min(most, len(self.clients)))]
+        told = list(self.from_replicas)
+        self.from_replicas.clear()
+        told += [self.from_clients.popleft() for _ in range(min(most, len(self.from_clients)))]
         self.room.set()
-        self.room, self.came = anyio.Event(), anyio.Event()
+        self.room, self.arrived = anyio.Event(), anyio.Event()
         return told
 
     async def wait(self, wait_s: float) -> None:
-        if not self.keepers and not self.clients:
+        if not self.from_replicas and not self.from_clients:
             with anyio.move_on_after(max(0.0, wait_s)):
-                await self.came.wait()
+                await self.arrived.wait()
         else:
             await anyio.lowlevel.checkpoint()  # readers and writers have their turn
--- a/brookreach/coordination/raft/election.py
+++ b/brookreach/coordination/raft/election.py
@@ -1,4 +1,4 @@
-"""Who leads: trial votes, votes, time-outs, and a leader that asks another to stand.
+"""Who leads: pre-votes, votes, time-outs, and a leader that asks another to stand.
 
 It owns the votes collected and every vote given. It must never give two votes in a term, nor any to a keeper
 whose log ends before this one's, nor raise the term while a leader is heard, unless that leader asked for it.
@@ -25,19 +25,19 @@
         core.step_down()
         if core.me in core.seats:
             core.role = TRIES
-            self._ask(core.term + 1, trial=True, handed=False)
+            self._ask(core.term + 1, pre_vote=True, handed=False)
 
     def stand(self, handed: bool) -> None:
         core = self.core
         core.rise(core.term + 1)
         core.vote_for(core.me)
         core.role = STANDS
-        self._ask(core.term, trial=False, handed=handed)
+        self._ask(core.term, pre_vote=False, handed=handed)
 
-    def _ask(self, term: int, trial: bool, handed: bool) -> None:
+    def _ask(self, term: int, pre_vote: bool, handed: bool) -> None:
         core = self.core
         self.votes, self.walls = {core.me}, {core.me: core.wall_ms}
-        ask = RequestVote(term, core.log.last, core.log.last_term, trial, handed)
+        ask = RequestVote(term, core.log.last, core.log.last_term, pre_vote, handed)
         for other in core.others():
             core.say(other, ask)
         self._count()
@@ -58,15 +58,15 @@
         core = self.core
         if ask.last_term >= ask.term or (ask.last_index == 0) != (ask.last_term == 0):
             return core.refuse("a log that can't be")
-        handed = ask.handed and source in core.seats
+        handed = ask.leadership_transfer and source in core.seats
         if core.hears_leader() and not handed:
             given = False
-        elif ask.trial:
+        elif ask.pre_vote:
             given = ask.term > core.term and not core.behind(ask)
         else:
             given = self._voted_for(source, ask)
-        term = ask.term if ask.trial and given else core.term
-        core.say(source, RequestVoteReply(term, ask.trial, given, core.wall_ms))
+        term = ask.term if ask.pre_vote and given else core.term
+        core.say(source, RequestVoteReply(term, ask.pre_vote, given, core.wall_ms))
 
     def _voted_for(self, source: str, ask: RequestVote) -> bool:
         core = self.core
@@ -82,13 +82,13 @@
         core = self.core
         if source not in core.seats:
             return core.refuse("not a seat")
-        asked = core.term + 1 if vote.trial and vote.given else core.term
+        asked = core.term + 1 if vote.pre_vote and vote.vote_granted else core.term
         if vote.term > asked:
-            if vote.given:
+            if vote.vote_granted:
                 return core.refuse("a vote never asked for")
             return core.rise(vote.term)
-        waits = core.role == (TRIES if vote.trial else STANDS)
-        if vote.given and vote.term == asked and waits:
+        waits = core.role == (TRIES if vote.pre_vote else STANDS)
+        if vote.vote_granted and vote.term == asked and waits:
             self.votes.add(source)
             self.walls[source] = vote.wall_ms
             self._count()
--- a/brookreach/coordination/raft/follower.py
+++ b/brookreach/coordination/raft/follower.py
@@ -73,7 +73,7 @@
         if new:
             core.back_to(new[0].index - 1)
             core.add(new)
-        core.commit = max(core.commit, min(message.commit, end))
+        core.commit = max(core.commit, min(message.commit_index, end))
         # Up to `commit` every leader has what stands here, so this may be told beyond the message's end.
         core.say(source, AppendEntriesReply(core.term, True, max(end, core.commit), message.round))
 
--- a/brookreach/coordination/server/change_feed.py
+++ b/brookreach/coordination/server/change_feed.py
@@ -17,7 +17,7 @@
 
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.state_machine.machine import StateMachine
-from brookreach.coordination.state_machine.tables import SUM, weight
+from brookreach.coordination.state_machine.tables import ROW_DIGEST_BYTES, encoded_size
 
 MARKS = 64  # watched tables, at most, as words.Watch
 Rows = tuple[messages.RowChange, ...]
@@ -25,7 +25,7 @@
 
 
 def marked(names: Collection[str], total: int) -> Rows:
-    octets = (total % (1 << 8 * SUM)).to_bytes(SUM, "big")
+    octets = (total % (1 << 8 * ROW_DIGEST_BYTES)).to_bytes(ROW_DIGEST_BYTES, "big")
     return tuple(messages.RowChange(one, "", None if nth else octets) for nth, one in enumerate(names))
 
 
@@ -72,7 +72,7 @@
         self._copies.clear()
         self._found.clear()
         self.index = self.floor = self._machine.applied  # all changes after `floor` are in the ring
-        self.octets, self._sums = 0, dict(self._machine.view.sums)
+        self.octets, self._sums = 0, dict(self._machine.view.digest_sums)
 
     def took(self, changes: Rows) -> Collection[str]:
         """What the entry that was just applied changed; hands back the tables."""
@@ -80,10 +80,10 @@
         self._found.clear()
         if not changes:
             return ()
-        sums = self._machine.view.sums
+        sums = self._machine.view.digest_sums
         moved = {name: sums[name] - self._sums[name] for name in sorted({one.table for one in changes})}
         self._sums.update((name, sums[name]) for name in moved)
-        self._steps.append(Step(self.index, changes, sum(weight(one) for one in changes), moved))
+        self._steps.append(Step(self.index, changes, sum(encoded_size(one) for one in changes), moved))
         self.octets += self._steps[-1].octets
         while self.octets > self._most_ring:
             gone = self._steps.popleft()
@@ -112,8 +112,8 @@
         total = sum(self._sums[one] for one in names)
         for step in reversed(later):
             mine = [one for one in step.changes if one.table in names]
-            size = sum(weight(one) for one in mine)
-            last.update(((one.table, one.key), weight(one)) for one in mine)
+            size = sum(encoded_size(one) for one in mine)
+            last.update(((one.table, one.key), encoded_size(one)) for one in mine)
             many = len(rows) + len(mine) > messages.MAX_ROWS - MARKS
             full = full or many or octets + size > self._most_bytes
             if full:
@@ -123,7 +123,7 @@
                 octets, upto = octets + size, step.place
         if full and not rows:
             return None
-        if sum(last.values()) > sum(self._machine.view.weight(one) for one in names):
+        if sum(last.values()) > sum(self._machine.view.table_size(one) for one in names):
             return None
         return Found(upto if full else self.index, tuple(rows.values()), total, octets)
 
@@ -135,7 +135,7 @@
             part, octets = list(marked(names, sum(self._sums[one] for one in names))), 0
             for name in names:
                 for one in self._machine.view.changes(name):
-                    size = weight(one)
+                    size = encoded_size(one)
                     if len(part) >= messages.MAX_ROWS or octets + size > self._most_bytes:
                         parts.append((tuple(part), octets))
                         part, octets = [], 0
--- a/brookreach/coordination/server/leader.py
+++ b/brookreach/coordination/server/leader.py
@@ -29,7 +29,7 @@
 from brookreach.coordination.server.watches import Watches
 from brookreach.coordination.state_machine import sessions
 from brookreach.coordination.state_machine.machine import StateMachine
-from brookreach.coordination.state_machine.sessions import ANSWERS, SEATS, SESSIONS
+from brookreach.coordination.state_machine.sessions import ANSWERS, MEMBERSHIP, SESSIONS
 
 
 class Leader(Term):
@@ -89,13 +89,13 @@
             case messages.CloseSession(session=session):
                 ended = sessions.SessionEnded(session, "left")
                 if self.machine.holder(session) == source and self._propose(now, ended):
-                    self.leases.gone(session)  # it lives no more
+                    self.leases.remove(session)  # it lives no more
                     self.gone(source)
             case messages.KeepAlive(session=session) | messages.WatchRequest(session=session):
                 if not self._lives(now, source, session):
                     self._no_session(source, body, session)
                 elif isinstance(body, messages.KeepAlive):
-                    self.leases.renewed(now, session)
+                    self.leases.renew(now, session)
                     self.say(source, messages.KeepAliveReply(body.seq, int(self.timing.lease_ms), self.clock.at(now)))
                 elif wrong := self.watches.watch(source, body.tables, body.since):
                     self.sorry(source, body, "refused", wrong)
@@ -133,22 +133,22 @@
             self.sorry(source, join, "too new", f"version {join.version}; {sessions.VERSION} is known here")
         elif join.session:
             if row is not None and row.kind == join.kind and self._lives(now, source, join.session):
-                self.leases.renewed(now, held)
+                self.leases.renew(now, held)
                 self._joined(now, source, held)
             else:
                 self._no_session(source, join, join.session)
         elif self.flights.joins(source):
             pass  # said twice: the first will be answered
-        elif held and not self.leases.over(now, held):
+        elif held and not self.leases.expired(now, held):
             if self.here.get(source) != held:  # else said twice; another process of that name may act yet
-                left_ms = self.leases.left_ms(now, held)
+                left_ms = self.leases.remaining_ms(now, held)
                 self.sorry(source, join, "busy", f"{source} has session {held} yet", "", left_ms + 1.0)
         else:
             place = self._propose(now, sessions.SessionStarted(source, join.kind))
             self._fly(source, join, place, InFlightProposal(source, held, 0))
 
     def _lives(self, now: float, source: str, session: int) -> bool:
-        return self.machine.holder(session) == source and not self.leases.over(now, session)
+        return self.machine.holder(session) == source and not self.leases.expired(now, session)
 
     def _joined(self, now: float, source: str, session: int) -> None:
         self.here[source] = session
@@ -161,7 +161,7 @@
         return (
             last is not None
             and last.session == ask.session
-            and ask.piece != SEATS
+            and ask.application != MEMBERSHIP
             and ask.seq == last.seq + self.flights.of(ask.session) + 1
         )
 
@@ -171,17 +171,17 @@
             self._no_session(source, ask, ask.session)
         elif self.flights.has(ask.session, ask.seq):
             pass  # said twice: the first will be answered
-        elif ask.piece == SEATS:
+        elif ask.application == MEMBERSHIP:
             self._seats(now, source, ask)
-        elif ask.seq == last.seq and last.mark == sessions.mark(ask.piece, ask.version, ask.body):
+        elif ask.seq == last.seq and last.mark == sessions.request_digest(ask.application, ask.version, ask.body):
             self.say(source, messages.ProposeReply(ask.seq, last.index, last.ok, last.text))
         elif not self._is_next(source, ask):
             self.sorry(source, ask, "out of order", f"question {ask.seq} after {last.seq}")
-        elif misfit := self.machine.misfit(ask.piece, ask.version, ask.body):
+        elif misfit := self.machine.check_proposal(ask.application, ask.version, ask.body):
             self.sorry(source, ask, *misfit)
         else:
             kind = self.machine.view.get(SESSIONS, source).kind
-            octets = sessions.asked(ask, self.clock.at(now), source, kind)
+            octets = sessions.encode_proposal(ask, self.clock.at(now), source, kind)
             self._fly(source, ask, self.raft.propose(now, octets), InFlightProposal(source, ask.session, ask.seq))
 
     def _fly(self, source: str, body: messages.Body, place: int | None, one: InFlightProposal) -> None:
@@ -223,17 +223,21 @@
         one = self.flights.end(entry.index)
         if one is None:
             if done.session:  # an Ended
-                self.leases.gone(done.session)
+                self.leases.remove(done.session)
         elif not one.seq:
             waits, lease_ms = self.flights.waits(one.source), self.timing.lease_ms
             if done.ok:
-                self.leases.gone(one.session)
-                self.leases.renewed(now, done.session)
+                self.leases.remove(one.session)
+                self.leases.renew(now, done.session)
             if waits and done.ok:
                 self._joined(now, one.source, done.session)
             elif waits:
-                self.say(one.source, messages.RequestRejected(0, done.why or "refused", done.text, "", int(lease_ms)))
-        elif done.why:
-            self.say(one.source, messages.RequestRejected(one.seq, done.why, done.text, "", int(self.timing.beat_ms)))
+                self.say(
+                    one.source, messages.RequestRejected(0, done.rejection or "refused", done.text, "", int(lease_ms))
+                )
+        elif done.rejection:
+            self.say(
+                one.source, messages.RequestRejected(one.seq, done.rejection, done.text, "", int(self.timing.beat_ms))
+            )
         else:
             self.say(one.source, messages.ProposeReply(one.seq, done.index, done.ok, done.text))
--- a/brookreach/coordination/server/leader_term.py
+++ b/brookreach/coordination/server/leader_term.py
@@ -20,19 +20,19 @@
         self.term = raft.term
         self.clock = AgreedTime(now, raft.wall_ms_low_median)
         self.open = False
-        self.leases = sessions.LeaseBook(timing)
+        self.leases = sessions.SessionLeases(timing)
         self.passing = 0  # where a Passed stands that is not yet applied
         self.again_at = now  # no Passed before
 
     def _open(self, now: float) -> None:
         self.clock.no_less(now, self.machine.at_ms)
-        self.leases.adopt(now, self.machine.sessions())
+        self.leases.reset(now, self.machine.sessions())
         self.open = True
 
     def passed(self, now: float) -> None:
         if not self.open:
             return
-        for session in self.leases.ended(now):
+        for session in self.leases.expirations_due(now):
             self._propose(now, sessions.SessionEnded(session, "its lease ran out"))  # else it is named again
         due = self.machine.next_timer_ms()
         if due is not None and not self.passing and now >= self.again_at and due <= self.clock.at(now):
@@ -43,10 +43,10 @@
         if not self.open:
             return None
         due = None if self.passing else self.machine.next_timer_ms()
-        times = (self.leases.wake_ms(), None if due is None else max(self.again_at, self.clock.when(due)))
+        times = (self.leases.next_expiry_ms(), None if due is None else max(self.again_at, self.clock.when(due)))
         return min((one for one in times if one is not None), default=None)
 
     def _propose(
         self, now: float, order: sessions.SessionStarted | sessions.SessionEnded | sessions.TimePassed
     ) -> int | None:
-        return self.raft.propose(now, sessions.ordered(order, self.clock.at(now)))
+        return self.raft.propose(now, sessions.encode_command(order, self.clock.at(now)))
--- a/brookreach/coordination/server/process.py
+++ b/brookreach/coordination/server/process.py
@@ -20,12 +20,12 @@
 
 from brookreach.coordination import configuration
 from brookreach.coordination.client.connection import now_ms
+from brookreach.coordination.errors import ReplicaHaltedError
 from brookreach.coordination.ports import Ready, StorageError
-from brookreach.coordination.protocol.stream import BOUNDS
+from brookreach.coordination.protocol.stream import DEFAULT_LIMITS
 from brookreach.coordination.server.replica import Replica
 from brookreach.coordination.server.transport import Say, Transport, first
 from brookreach.coordination.state_machine.application import Application
-from brookreach.coordination.state_machine.snapshots import ReplicaHaltedError
 from brookreach.coordination.storage.store import Store
 from brookreach.files import BadFile
 
@@ -95,9 +95,9 @@
             if self.keeper.end(now_ms()):
                 with anyio.move_on_after(2.0 * self.keeper.timing.election_ms / 1000.0):
                     while self.keeper.leads:
-                        self.link.inbox.came.set()
+                        self.link.inbox.arrived.set()
                         await anyio.sleep(self.keeper.timing.beat_ms / 5000.0)
-            self.link.inbox.came.set()
+            self.link.inbox.arrived.set()
             await anyio.sleep(0.02)  # what was said to clients is written
             scope.cancel()
 
@@ -146,7 +146,7 @@
 def room_for_clients() -> None:
     """As many descriptors as the system allows, up to what clients may take."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    wanted = BOUNDS.clients + BOUNDS.strangers + 64
+    wanted = DEFAULT_LIMITS.max_clients + DEFAULT_LIMITS.max_unidentified + 64
     most = wanted if hard == resource.RLIM_INFINITY else min(wanted, hard)
     if soft != resource.RLIM_INFINITY and soft < most:
         resource.setrlimit(resource.RLIMIT_NOFILE, (most, hard))
--- a/brookreach/coordination/server/proposals.py
+++ b/brookreach/coordination/server/proposals.py
@@ -13,8 +13,8 @@
 
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.state_machine.application import Command
-from brookreach.coordination.state_machine.sessions import PRIVATE
-from brookreach.coordination.state_machine.tables import Tables, weight
+from brookreach.coordination.state_machine.sessions import UNWATCHED_TABLES
+from brookreach.coordination.state_machine.tables import Tables, encoded_size
 
 MOST_PART = 256 << 10  # bytes of rows in one message
 MOST_TEXT = 400  # as words.Text
@@ -111,7 +111,7 @@
 
 def rows_of(view: Tables, read: messages.ReadRequest) -> list[tuple[messages.RowChange, ...]]:
     """What is read, in parts that a message carries, one at least; raises Wrong."""
-    known = [name for name in view.types if name not in PRIVATE]
+    known = [name for name in view.types if name not in UNWATCHED_TABLES]
     if read.table not in known:
         raise Wrong(f"no table {read.table!r}; there are {', '.join(known)}")
     parts: list[list[messages.RowChange]] = [[]]
@@ -119,7 +119,7 @@
     for change in view.changes(read.table):
         if not change.key.startswith(read.prefix):
             continue
-        size = weight(change)
+        size = encoded_size(change)
         if parts[-1] and (octets + size > MOST_PART or len(parts[-1]) == messages.MAX_ROWS):
             parts.append([])
             octets = 0
--- a/brookreach/coordination/server/watches.py
+++ b/brookreach/coordination/server/watches.py
@@ -86,7 +86,7 @@
 
     def watch(self, client: str, tables: Collection[str], since: int) -> str | None:
         names = tuple(sorted(set(tables)))
-        known = sorted(set(self._machine.view.types) - sessions.PRIVATE)
+        known = sorted(set(self._machine.view.types) - sessions.UNWATCHED_TABLES)
         if not names or len(names) > MARKS:
             return f"{len(names)} tables; 1 to {MARKS} are allowed"
         if strange := [one for one in names if one not in known]:
--- a/brookreach/coordination/state_machine/application.py
+++ b/brookreach/coordination/state_machine/application.py
@@ -1,8 +1,11 @@
-"""What a piece is to the ground: named tables of rows, and decisions on records. No I/O, no clock, no chance.
+"""The interface that every application of the replicated state machine implements.
 
-A piece never changes the state itself. `apply` looks at a `View` and says what changes; the ground puts that
-into the tables, the log's snapshots and the watches. So the same records give the same state on every keeper,
-and a record that is refused changes nothing. Times are the agreed time in whole ms, handed in.
+An application owns named tables of rows and decides on commands. It never changes the state itself: its methods
+read a `View` and return the rows to change; the state machine writes these to the tables, and thereby to snapshots
+and watches. So equal commands lead to equal states on every replica, and a rejected command changes nothing.
+
+Applications do no I/O, read no clock and draw no random numbers. All times are the agreed time in whole ms since
+1970, which is handed in with each command.
 """
 
 from __future__ import annotations
@@ -13,22 +16,38 @@
 
 import msgspec
 
+from brookreach.coordination.errors import CommandRejectedError
+
+__all__ = [
+    "Application",
+    "Command",
+    "CommandRejectedError",
+    "Context",
+    "InMemoryView",
+    "Row",
+    "RowUpdate",
+    "StagedChanges",
+    "View",
+]
+
 
 class Row(msgspec.Struct, frozen=True, forbid_unknown_fields=True, array_like=True):
-    """One row of a table. Fields are whole numbers, text, booleans and tuples of these: never a float."""
+    """Base class of the rows of a table. Fields are integers, strings, booleans and tuples of these, never floats.
 
+    Rows are stored as arrays: the order and types of the fields are the stored form, their names are not.
+    """
 
-class Command(msgspec.Struct, frozen=True, forbid_unknown_fields=True, tag=True):
-    """One record of a piece: what somebody asks the whole fleet to take as fact."""
 
+class Command(msgspec.Struct, frozen=True, forbid_unknown_fields=True, tag=True):
+    """Base class of an application's commands: what a client proposes to the whole cluster.
 
-class CommandRejectedError(Exception):
-    """Raised by `apply`: the state does not allow this record. Its text is for the operator who asked."""
+    Commands are stored as maps under a tag: a renamed class keeps its `tag`, a renamed field its encoded name.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class RowUpdate:
-    """A row as it is to be; None removes it."""
+    """The new content of one row; `row` None deletes it."""
 
     table: str
     key: str
@@ -37,103 +56,148 @@
 
 @dataclass(frozen=True, slots=True)
 class Context:
-    """Where a record stands: its place in the log (a fencing token), the agreed time, who asked."""
+    """Circumstances of one command.
+
+    Attributes:
+        index: Index of the command's log entry, usable as a fencing token.
+        now_ms: The agreed time, in ms since 1970.
+        client: Name of the client that proposed the command; "" for the cluster itself.
+        client_kind: "marshal", "agent", "operator", or "" for the cluster itself.
+        session: Number of the client's session; 0 for the cluster itself.
+    """
 
     index: int
     now_ms: int
-    client: str  # the client's name; "" for what the group does of itself
-    client_kind: str  # marshal, agent, operator or ""
+    client: str
+    client_kind: str
     session: int
 
 
 class View(Protocol):
-    """The state as it stands. Rows come in the order of their keys, on every process."""
+    """Read access to the tables. Rows come in the order of their keys, on every replica.
 
-    def get(self, table: str, key: str) -> Any: ...
+    Rows are typed `Any`: which type a table holds is known by the table's name only (`Application.tables`).
+    """
 
-    def rows(self, table: str, prefix: str = "") -> Iterable[tuple[str, Any]]: ...
+    def get(self, table: str, key: str) -> Any:
+        """Returns the row of this key, or None."""
+        ...
 
-    def count(self, table: str) -> int: ...
+    def rows(self, table: str, prefix: str = "") -> Iterable[tuple[str, Any]]:
+        """Returns keys and rows of all keys that begin with `prefix`."""
+        ...
+
+    def count(self, table: str) -> int:
+        """Returns the number of rows."""
+        ...
 
 
 class Application(Protocol):
-    """`tables` names each table's type of row; a piece changes no table but its own and those of the pieces
-    whose decisions it calls (power before outages before gangs).
+    """One application: its tables, its commands, and the decisions on them.
+
+    An application writes its own tables and those of the applications before it in the order of
+    `brookreach.applications`, whose decisions it may call; any other table is an error.
+
+    Attributes:
+        name: Stored with each command; never changes.
+        version: Version of the commands. A replica halts at a command of a greater version than it knows.
+        commands: The command type or union of types, as msgspec's decoder takes it (hence `Any`).
+        tables: The type of row of each table.
     """
 
     name: str
-    version: int  # of its records; a greater one halts the keeper that reads it
-    orders: Any  # the union of its Orders
+    version: int
+    commands: Any
     tables: Mapping[str, type[Row]]
 
-    def apply(self, view: View, order: Any, context: Context) -> list[RowUpdate]:
-        """What this record changes; raises CommandRejectedError."""
+    def apply(self, view: View, command: Any, context: Context) -> list[RowUpdate]:
+        """Returns the changes that a command, one of `commands`, makes.
+
+        Raises:
+            CommandRejectedError: The state does not allow the command.
+        """
         ...
 
     def next_timer_ms(self, view: View) -> int | None:
-        """When time alone next changes something; None: never."""
+        """Returns the agreed time at which time alone next changes something; None: never."""
         ...
 
     def advance_time(self, view: View, context: Context) -> list[RowUpdate]:
-        """What has changed by time alone until `context.now_ms`."""
+        """Returns the changes that are due by time alone up to `context.now_ms`."""
         ...
 
     def end_session(self, view: View, context: Context) -> list[RowUpdate]:
-        """What changes as the session `context.session` of `context.client` ends."""
+        """Returns the changes made by the end of session `context.session` of `context.client`."""
         ...
 
 
 @dataclass
 class StagedChanges:
-    """A view with changes of one record laid over it, for decisions made of several steps."""
+    """A view of `base` with the changes of one command on top, for decisions made in several steps."""
 
-    under: View
-    over: dict[tuple[str, str], Row | None] = field(default_factory=dict)
+    base: View
+    changes: dict[tuple[str, str], Row | None] = field(default_factory=dict)
 
     def put(self, table: str, key: str, row: Row | None) -> None:
-        self.over[table, key] = row
+        """Stages the new content of a row; None deletes it."""
+        self.changes[table, key] = row
 
-    def take(self, puts: Iterable[RowUpdate]) -> None:
-        for one in puts:
-            self.put(one.table, one.key, one.row)
+    def apply_updates(self, updates: Iterable[RowUpdate]) -> None:
+        """Stages each update in turn."""
+        for update in updates:
+            self.put(update.table, update.key, update.row)
 
     def get(self, table: str, key: str) -> Any:
-        return self.over[table, key] if (table, key) in self.over else self.under.get(table, key)
+        """Returns the row of this key as staged, or None."""
+        if (table, key) in self.changes:
+            return self.changes[table, key]
+        return self.base.get(table, key)
 
     def rows(self, table: str, prefix: str = "") -> Iterable[tuple[str, Any]]:
-        laid = {key: row for (name, key), row in self.over.items() if name == table and key.startswith(prefix)}
-        if not laid:
-            return self.under.rows(table, prefix)
-        merged = dict(self.under.rows(table, prefix)) | laid
+        """Returns keys and rows as staged, in the order of the keys."""
+        staged = {
+            key: row
+            for (changed_table, key), row in self.changes.items()
+            if changed_table == table and key.startswith(prefix)
+        }
+        if not staged:
+            return self.base.rows(table, prefix)
+        merged = dict(self.base.rows(table, prefix)) | staged
         return [(key, merged[key]) for key in sorted(merged) if merged[key] is not None]
 
     def count(self, table: str) -> int:
+        """Returns the number of rows as staged."""
         return sum(1 for _ in self.rows(table))
 
     def updates(self) -> list[RowUpdate]:
-        return [RowUpdate(table, key, row) for (table, key), row in self.over.items()]
+        """Returns the staged changes, in the order in which each row was first changed."""
+        return [RowUpdate(table, key, row) for (table, key), row in self.changes.items()]
 
 
 class InMemoryView:
-    """A view of plain tables, for tests and models; the keeper's own is `machine.Tables`."""
+    """A view of plain dictionaries for tests and models; a replica's own tables are `tables.Tables`."""
 
     def __init__(self) -> None:
         self.tables: dict[str, dict[str, Any]] = {}
 
     def get(self, table: str, key: str) -> Any:
+        """Returns the row of this key, or None."""
         return self.tables.get(table, {}).get(key)
 
     def rows(self, table: str, prefix: str = "") -> Iterable[tuple[str, Any]]:
-        held = self.tables.get(table, {})
-        return [(key, held[key]) for key in sorted(held) if key.startswith(prefix)]
+        """Returns keys and rows, in the order of the keys."""
+        rows = self.tables.get(table, {})
+        return [(key, rows[key]) for key in sorted(rows) if key.startswith(prefix)]
 
     def count(self, table: str) -> int:
+        """Returns the number of rows."""
         return len(self.tables.get(table, {}))
 
-    def take(self, puts: Iterable[RowUpdate]) -> None:
-        for one in puts:
-            held = self.tables.setdefault(one.table, {})
-            if one.row is None:
-                held.pop(one.key, None)
+    def apply_updates(self, updates: Iterable[RowUpdate]) -> None:
+        """Writes each update in turn."""
+        for update in updates:
+            rows = self.tables.setdefault(update.table, {})
+            if update.row is None:
+                rows.pop(update.key, None)
             else:
-                held[one.key] = one.row
+                rows[update.key] = update.row
--- a/brookreach/coordination/state_machine/machine.py
+++ b/brookreach/coordination/state_machine/machine.py
@@ -12,6 +12,7 @@
 
 import msgspec
 
+from brookreach.coordination.errors import InvalidRowError, ReplicaHaltedError, RowTooLargeError
 from brookreach.coordination.ports import AppliedCommand, LogRecord
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.state_machine import sessions, snapshots
@@ -26,15 +27,14 @@
 from brookreach.coordination.state_machine.sessions import (
     ANSWERS,
     APPLICATION,
-    SEATS,
+    MEMBERSHIP,
     SESSIONS,
     AnswerRow,
     SessionRow,
     SessionStarted,
     TimePassed,
 )
-from brookreach.coordination.state_machine.snapshots import ReplicaHaltedError
-from brookreach.coordination.state_machine.tables import InvalidRowError, RowTooLargeError, Tables
+from brookreach.coordination.state_machine.tables import Tables
 
 MOST_TEXT = 400  # as words.Text
 Made = list[tuple[Any, messages.RowChange]]
@@ -53,14 +53,14 @@
         self._versions = {APPLICATION: sessions.VERSION}
         types = dict(sessions.TABLES)
         for piece in pieces:
-            if piece.name in (*self._versions, SEATS):
+            if piece.name in (*self._versions, MEMBERSHIP):
                 raise ValueError(f"a second piece {piece.name}")
             if twice := sorted(set(types) & set(piece.tables)):
                 raise ValueError(f"piece {piece.name}: table {twice[0]} is another's")
             types.update(piece.tables)
             self._pieces[piece.name] = piece
             self._may[piece.name] = frozenset(types) - frozenset(sessions.TABLES)
-            self._readers[piece.name] = msgspec.msgpack.Decoder(piece.orders, strict=True)
+            self._readers[piece.name] = msgspec.msgpack.Decoder(piece.commands, strict=True)
             self._versions[piece.name] = piece.version
         self.view = Tables(types)
         self._holders: dict[int, str] = {}  # whose a session is
@@ -68,9 +68,9 @@
 
     # --- what a keeper asks ---
 
-    def misfit(self, piece: str, version: int, body: bytes) -> tuple[messages.RejectionReason, str] | None:
+    def check_proposal(self, piece: str, version: int, body: bytes) -> tuple[messages.RejectionReason, str] | None:
         """Why a client's record must not get into the log: there it would halt every keeper."""
-        if piece in (APPLICATION, SEATS):
+        if piece in (APPLICATION, MEMBERSHIP):
             return "refused", f"records of {piece} are the group's own"
         if piece not in self._pieces:
             return "too new", f"no piece {piece}; known are {', '.join(self._pieces)}"
@@ -78,8 +78,11 @@
             return "too new", f"version {version} of piece {piece}; up to {self._versions[piece]} is read"
         if version < 1:
             return "refused", f"version {version} of piece {piece}; versions begin at 1"
-        if len(body) > messages.MAX_COMMAND_BYTES - sessions.SPARE:
-            return "refused", f"{len(body)} bytes; {messages.MAX_COMMAND_BYTES - sessions.SPARE} are allowed"
+        if len(body) > messages.MAX_COMMAND_BYTES - sessions.ENTRY_OVERHEAD_BYTES:
+            return (
+                "refused",
+                f"{len(body)} bytes; {messages.MAX_COMMAND_BYTES - sessions.ENTRY_OVERHEAD_BYTES} are allowed",
+            )
         try:
             self._readers[piece].decode(body)
         except (msgspec.DecodeError, RecursionError) as error:
@@ -109,17 +112,17 @@
         return self._due[0]
 
     def snapshot(self) -> bytes:
-        return snapshots.packed(self.applied, self.at_ms, self._versions, self.view)
+        return snapshots.encode_snapshot(self.applied, self.at_ms, self._versions, self.view)
 
     def restore(self, octets: bytes) -> None:
         """The state of another keeper, or of this one before it ended. On ReplicaHaltedError nothing has changed."""
         into = Tables(self.view.types)
-        applied, at_ms = snapshots.unpacked(octets, self._versions, into)
+        applied, at_ms = snapshots.decode_snapshot(octets, self._versions, into)
         for client, row in into.rows(SESSIONS):
             answer = into.get(ANSWERS, client)
             if answer is None or answer.session != row.session:
                 raise ReplicaHaltedError(f"a snapshot of place {applied}: session {row.session} has no answers")
-        self.view.become(into)
+        self.view.replace_contents(into)
         self.applied, self.at_ms, self._due = applied, at_ms, None
         self._holders = {row.session: client for client, row in into.rows(SESSIONS)}
 
@@ -142,21 +145,21 @@
         return done
 
     def _taken(self, index: int, at_ms: int, stamped: LogRecord) -> AppliedCommand:
-        if stamped.piece == SEATS:
+        if stamped.application == MEMBERSHIP:
             return AppliedCommand(index, 0, 0, True, "", ())
         order = self._order(index, stamped)
-        if stamped.piece == APPLICATION:
-            if stamped.by:  # `misfit` should have kept it out of the log
+        if stamped.application == APPLICATION:
+            if stamped.client:  # `misfit` should have kept it out of the log
                 text = f"{APPLICATION} is the group's own"
                 return AppliedCommand(index, stamped.session, stamped.seq, False, text, (), "refused")
             return self._ground(index, at_ms, order)
-        if not stamped.by and not stamped.session:
-            ok, text, made = self._asked(order, stamped.piece, Context(index, at_ms, "", "", 0))
+        if not stamped.client and not stamped.session:
+            ok, text, made = self._asked(order, stamped.application, Context(index, at_ms, "", "", 0))
             return AppliedCommand(index, 0, stamped.seq, ok, text, self._lay(made))
         return self._of_session(index, at_ms, stamped, order)
 
     def _order(self, index: int, stamped: LogRecord) -> Any:
-        name, version = stamped.piece, stamped.version
+        name, version = stamped.application, stamped.version
         if name not in self._versions:
             raise ReplicaHaltedError(f"record {index} is of piece {name!r}; known are {', '.join(self._versions)}")
         if not 1 <= version <= self._versions[name]:
@@ -171,20 +174,20 @@
 
     def _of_session(self, index: int, at_ms: int, stamped: LogRecord, order: Any) -> AppliedCommand:
         """Each question of a session takes effect once, whatever came twice or late."""
-        by, session, seq = stamped.by, stamped.session, stamped.seq
+        by, session, seq = stamped.client, stamped.session, stamped.seq
         row, last = self.view.get(SESSIONS, by), self.view.get(ANSWERS, by)
         if row is None or row.session != session:
             text = f"session {session} of {by} has ended"
             return AppliedCommand(index, session, seq, False, text, (), "no session")
-        mark = sessions.mark(stamped.piece, stamped.version, stamped.body)
+        mark = sessions.request_digest(stamped.application, stamped.version, stamped.body)
         if seq and seq == last.seq and mark == last.mark:
             return AppliedCommand(last.index, session, seq, last.ok, last.text, ())
         if seq != last.seq + 1:
             text = f"question {seq} after {last.seq}" if seq != last.seq else f"another question {seq}"
             return AppliedCommand(index, session, seq, False, text, (), "out of order")
-        ok, text, made = self._asked(order, stamped.piece, Context(index, at_ms, by, row.kind, session))
+        ok, text, made = self._asked(order, stamped.application, Context(index, at_ms, by, row.kind, session))
         answer = RowUpdate(ANSWERS, by, AnswerRow(session, seq, mark, index, ok, text))
-        return AppliedCommand(index, session, seq, ok, text, self._lay([*made, self.view.made(answer)]))
+        return AppliedCommand(index, session, seq, ok, text, self._lay([*made, self.view.encode(answer)]))
 
     def _asked(self, order: Any, name: str, context: Context) -> tuple[bool, str, Made]:
         piece = self._pieces[name]
@@ -200,13 +203,13 @@
         for one in puts:
             if one.table not in self._may[piece.name]:
                 raise InvalidRowError(f"piece {piece.name} may not write table {one.table!r}")
-        return [self.view.made(one) for one in puts]
+        return [self.view.encode(one) for one in puts]
 
     def _lay(self, made: Made) -> tuple[messages.RowChange, ...]:
-        changes = self.view.lay(made)
+        changes = self.view.write(made)
         if changes:
             self._due = None
-        return tuple(one for one in changes if one.table not in sessions.PRIVATE)
+        return tuple(one for one in changes if one.table not in sessions.UNWATCHED_TABLES)
 
     # --- the ground's own records ---
 
@@ -222,21 +225,21 @@
             text = f"session {order.session} has ended"
             return AppliedCommand(index, order.session, 0, False, text, (), "no session")
         made = self._over(index, at_ms, client)
-        gone = [self.view.made(RowUpdate(table, client, None)) for table in sessions.TABLES]
+        gone = [self.view.encode(RowUpdate(table, client, None)) for table in sessions.TABLES]
         del self._holders[order.session]
-        return AppliedCommand(index, order.session, 0, True, order.why, self._lay(made + gone))
+        return AppliedCommand(index, order.session, 0, True, order.reason, self._lay(made + gone))
 
     def _began(self, index: int, at_ms: int, order: SessionStarted) -> AppliedCommand:
         client, older = order.client, self.session(order.client)
-        if not older and self.view.count(SESSIONS) >= sessions.MOST_SESSIONS:
-            text = f"{sessions.MOST_SESSIONS} sessions, no more are allowed"
+        if not older and self.view.count(SESSIONS) >= sessions.MAX_SESSIONS:
+            text = f"{sessions.MAX_SESSIONS} sessions, no more are allowed"
             return AppliedCommand(index, 0, 0, False, text, (), "busy")
         made = self._over(index, at_ms, client) if older else []
         rows = (
             RowUpdate(SESSIONS, client, SessionRow(index, order.kind, at_ms)),
             RowUpdate(ANSWERS, client, AnswerRow(index, 0, "", 0, True, "")),
         )
-        made += [self.view.made(one) for one in rows]
+        made += [self.view.encode(one) for one in rows]
         self._holders.pop(older, None)
         self._holders[index] = client
         return AppliedCommand(index, index, 0, True, "", self._lay(made))
--- a/brookreach/coordination/state_machine/sessions.py
+++ b/brookreach/coordination/state_machine/sessions.py
@@ -17,10 +17,10 @@
 from brookreach.coordination.state_machine.application import Command, Row
 
 APPLICATION, VERSION = "fleet", 1
-SEATS = "seats"  # records of the group's members: raft's, and nothing to the tables
+MEMBERSHIP = "seats"  # records of the group's members: raft's, and nothing to the tables
 SESSIONS, ANSWERS = "sessions", "answers"
-MOST_SESSIONS = 16_384
-SPARE = 512  # bytes of an entry beside a client's record, at most
+MAX_SESSIONS = 16_384
+ENTRY_OVERHEAD_BYTES = 512  # bytes of an entry beside a client's record, at most
 
 _out = msgspec.msgpack.Encoder(order="deterministic")
 
@@ -34,7 +34,7 @@
 
 class SessionEnded(Command, frozen=True, tag="Ended"):
     session: messages.Count
-    why: messages.Text
+    reason: messages.Text = msgspec.field(name="why")
 
 
 class TimePassed(Command, frozen=True, tag="Passed"):
@@ -64,38 +64,38 @@
 
 
 TABLES: dict[str, type[Row]] = {SESSIONS: SessionRow, ANSWERS: AnswerRow}
-PRIVATE = frozenset((ANSWERS,))
+UNWATCHED_TABLES = frozenset((ANSWERS,))
 
 
-def ordered(order: SessionStarted | SessionEnded | TimePassed, at_ms: int) -> bytes:
+def encode_command(order: SessionStarted | SessionEnded | TimePassed, at_ms: int) -> bytes:
     """An entry's octets, for what the group does of itself."""
     return _out.encode(LogRecord(APPLICATION, VERSION, at_ms, "", "", 0, 0, _out.encode(order)))
 
 
-def asked(ask: messages.ProposeRequest, at_ms: int, client: str, kind: str) -> bytes:
+def encode_proposal(ask: messages.ProposeRequest, at_ms: int, client: str, kind: str) -> bytes:
     """An entry's octets, for a question that `StateMachine.misfit` has let through."""
-    return _out.encode(LogRecord(ask.piece, ask.version, at_ms, client, kind, ask.session, ask.seq, ask.body))
+    return _out.encode(LogRecord(ask.application, ask.version, at_ms, client, kind, ask.session, ask.seq, ask.body))
 
 
-def mark(piece: str, version: int, body: bytes) -> str:
+def request_digest(piece: str, version: int, body: bytes) -> str:
     """Tells one question from another that comes under its number."""
     return hashlib.sha256(_out.encode((piece, version, body))).hexdigest()[:16]
 
 
-class LeaseBook:
+class SessionLeases:
     """When each session was last answered, by the leader's clock, as long as it leads."""
 
     def __init__(self, timing: Timing):
-        self.length = timing.lease_ms * (1.0 + timing.drift)
+        self.duration_ms = timing.lease_ms * (1.0 + timing.drift)
         self._answered: dict[int, float] = {}  # oldest first
         self._ending: dict[int, float] = {}  # since when; never renewed again
 
-    def adopt(self, now: float, sessions: Iterable[int]) -> None:
+    def reset(self, now: float, sessions: Iterable[int]) -> None:
         """The lead begins, all earlier terms' entries are applied: what an earlier leader answered, and whose
         ends it had in mind, is not known here. Whatever it answered was asked before this."""
         self._answered, self._ending = dict.fromkeys(sessions, now), {}
 
-    def renewed(self, now: float, session: int) -> bool:
+    def renew(self, now: float, session: int) -> bool:
         """As it is answered, the lead confirmed since it was asked. False: too late, it is being ended."""
         if session in self._ending:
             return False
@@ -103,28 +103,28 @@
         self._answered[session] = now
         return True
 
-    def gone(self, session: int) -> None:
+    def remove(self, session: int) -> None:
         self._answered.pop(session, None)
         self._ending.pop(session, None)
 
-    def left_ms(self, now: float, session: int) -> float:
+    def remaining_ms(self, now: float, session: int) -> float:
         """How long its client may still act, at most."""
         if session not in self._answered:
             return 0.0
-        return max(0.0, self._answered[session] + self.length - now)
+        return max(0.0, self._answered[session] + self.duration_ms - now)
 
-    def over(self, now: float, session: int) -> bool:
-        return self.left_ms(now, session) <= 0.0
+    def expired(self, now: float, session: int) -> bool:
+        return self.remaining_ms(now, session) <= 0.0
 
-    def ended(self, now: float) -> list[int]:
+    def expirations_due(self, now: float) -> list[int]:
         """Sessions whose end is to be proposed now. They are renewed no more; said again after a lease, for
         the case that it could not be proposed."""
         due = []
         for session, answered in self._answered.items():
-            if now < answered + self.length:
+            if now < answered + self.duration_ms:
                 break
             due.append(session)
-        again = [one for one, since in self._ending.items() if now >= since + self.length]
+        again = [one for one, since in self._ending.items() if now >= since + self.duration_ms]
         for session in due:
             del self._answered[session]
         for session in due + again:
@@ -132,7 +132,7 @@
             self._ending[session] = now
         return due + again
 
-    def wake_ms(self) -> float | None:
+    def next_expiry_ms(self) -> float | None:
         """When `ended` next has something; None: never."""
         first = [next(iter(held.values())) for held in (self._answered, self._ending) if held]
-        return min(first) + self.length if first else None
+        return min(first) + self.duration_ms if first else None
--- a/brookreach/coordination/state_machine/snapshots.py
+++ b/brookreach/coordination/state_machine/snapshots.py
@@ -11,26 +11,23 @@
 
 import msgspec
 
+from brookreach.coordination.errors import InvalidRowError, ReplicaHaltedError, RowTooLargeError
 from brookreach.coordination.protocol import messages
-from brookreach.coordination.state_machine.tables import InvalidRowError, RowTooLargeError, Tables
+from brookreach.coordination.state_machine.tables import Tables
 
-FORM = 1
+SNAPSHOT_FORMAT = 1
 MAGIC = b"brook\r\n\x01"
-SUM = 32  # bytes of SHA-256
+CHECKSUM_BYTES = 32  # bytes of SHA-256
 
 
-class ReplicaHaltedError(Exception):
-    """The log or a snapshot can't be gone on with here. The keeper says this and ends: never skips it."""
-
-
-class Packed(msgspec.Struct, frozen=True, forbid_unknown_fields=True, array_like=True):
+class SnapshotBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True, array_like=True):
     applied: messages.Count
     at_ms: messages.Count
     pieces: tuple[tuple[str, messages.Count], ...]  # and the versions of their records
     tables: tuple[tuple[str, tuple[tuple[str, bytes], ...]], ...]
 
 
-class Form(msgspec.Struct, frozen=True, array_like=True):
+class SnapshotEnvelope(msgspec.Struct, frozen=True, array_like=True):
     """Read first, so that a later form is named as such."""
 
     form: messages.Count
@@ -38,29 +35,29 @@
 
 
 _out = msgspec.msgpack.Encoder(order="deterministic")
-_forms = msgspec.msgpack.Decoder(Form, strict=True)
-_bodies = msgspec.msgpack.Decoder(Packed, strict=True)
+_forms = msgspec.msgpack.Decoder(SnapshotEnvelope, strict=True)
+_bodies = msgspec.msgpack.Decoder(SnapshotBody, strict=True)
 
 
-def packed(applied: int, at_ms: int, versions: Mapping[str, int], tables: Tables) -> bytes:
+def encode_snapshot(applied: int, at_ms: int, versions: Mapping[str, int], tables: Tables) -> bytes:
     rows = tuple((name, tuple((one.key, one.octets or b"") for one in tables.changes(name))) for name in tables.types)
-    body = _out.encode(Packed(applied, at_ms, tuple(sorted(versions.items())), rows))
-    octets = _out.encode(Form(FORM, msgspec.Raw(body)))
+    body = _out.encode(SnapshotBody(applied, at_ms, tuple(sorted(versions.items())), rows))
+    octets = _out.encode(SnapshotEnvelope(SNAPSHOT_FORMAT, msgspec.Raw(body)))
     return MAGIC + hashlib.sha256(octets).digest() + octets
 
 
-def unpacked(octets: bytes, versions: Mapping[str, int], into: Tables) -> tuple[int, int]:
+def decode_snapshot(octets: bytes, versions: Mapping[str, int], into: Tables) -> tuple[int, int]:
     """Fills `into`, which is empty; hands back `applied` and `at_ms`; raises ReplicaHaltedError."""
     if octets[: len(MAGIC)] != MAGIC:
         raise ReplicaHaltedError(f"no snapshot: begins with {octets[: len(MAGIC)]!r}, not {MAGIC!r}")
-    rest = octets[len(MAGIC) + SUM :]
-    if hashlib.sha256(rest).digest() != octets[len(MAGIC) : len(MAGIC) + SUM]:
+    rest = octets[len(MAGIC) + CHECKSUM_BYTES :]
+    if hashlib.sha256(rest).digest() != octets[len(MAGIC) : len(MAGIC) + CHECKSUM_BYTES]:
         raise ReplicaHaltedError(f"a snapshot of {len(octets)} bytes is torn or was changed: its checksum differs")
     try:
         form = _forms.decode(rest)
-        if form.form != FORM:
+        if form.form != SNAPSHOT_FORMAT:
             raise ReplicaHaltedError(
-                f"a snapshot of form {form.form}, of another version of the program; {FORM} is read"
+                f"a snapshot of form {form.form}, of another version of the program; {SNAPSHOT_FORMAT} is read"
             )
         found = _bodies.decode(form.body)
     except (msgspec.DecodeError, RecursionError) as error:
@@ -74,7 +71,7 @@
             )
     for table, rows in found.tables:
         try:
-            into.lay([into.read(table, key, row) for key, row in rows])
+            into.write([into.decode(table, key, row) for key, row in rows])
         except (InvalidRowError, RowTooLargeError) as error:
             raise ReplicaHaltedError(f"a snapshot of place {found.applied}: {error}") from None
     return found.applied, found.at_ms
--- a/brookreach/coordination/state_machine/tables.py
+++ b/brookreach/coordination/state_machine/tables.py
@@ -13,33 +13,26 @@
 import msgspec
 from sortedcontainers import SortedDict
 
+from brookreach.coordination.errors import InvalidRowError, RowTooLargeError
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.state_machine.application import Row, RowUpdate
 
-MOST_KEY = 200  # as words.Key; "" is no row's key
-BESIDE = 16  # bytes of a change beside its names and octets, at most
-SUM = 16  # bytes of a sum over rows
+MAX_KEY_LENGTH = 200  # as words.Key; "" is no row's key
+ROW_OVERHEAD_BYTES = 16  # bytes of a change beside its names and octets, at most
+ROW_DIGEST_BYTES = 16  # bytes of a sum over rows
 
 _out = msgspec.msgpack.Encoder(order="deterministic")
 
 
-class RowTooLargeError(Exception):
-    """A row or key that no message can carry. Whoever asked for it is refused."""
-
-
-class InvalidRowError(Exception):
-    """A row that is none of its table: a defect in a piece, or of a later version."""
-
-
-def weight(change: messages.RowChange) -> int:
+def encoded_size(change: messages.RowChange) -> int:
     """Its bytes in a message, from above."""
     octets = len(change.octets) if change.octets is not None else 0
-    return BESIDE + len(change.table) + len(change.key.encode()) + octets
+    return ROW_OVERHEAD_BYTES + len(change.table) + len(change.key.encode()) + octets
 
 
-def trace(change: messages.RowChange) -> int:
+def row_digest(change: messages.RowChange) -> int:
     """Stands for one row in a sum over rows, in which order is nothing."""
-    return int.from_bytes(hashlib.blake2b(_out.encode(change), digest_size=SUM).digest(), "big")
+    return int.from_bytes(hashlib.blake2b(_out.encode(change), digest_size=ROW_DIGEST_BYTES).digest(), "big")
 
 
 class Tables:
@@ -50,7 +43,7 @@
         self._readers = {name: msgspec.msgpack.Decoder(type_, strict=True) for name, type_ in self.types.items()}
         self._held: dict[str, Any] = {name: SortedDict() for name in self.types}  # key: row, its change
         self._weights = dict.fromkeys(self.types, 0)
-        self.sums = dict.fromkeys(self.types, 0)  # of the traces of each table's rows
+        self.digest_sums = dict.fromkeys(self.types, 0)  # of the traces of each table's rows
 
     def get(self, table: str, key: str) -> Any:
         found = self._held.get(table, {}).get(key)
@@ -63,9 +56,9 @@
             return []
         if not prefix:
             return [(key, row) for key, (row, _) in held.items()]
-        return list(self.walk(table, prefix))
+        return list(self.iterate(table, prefix))
 
-    def walk(self, table: str, prefix: str = "") -> Iterator[tuple[str, Any]]:
+    def iterate(self, table: str, prefix: str = "") -> Iterator[tuple[str, Any]]:
         """The same one by one, for who takes the first few only. Nothing may be put meanwhile."""
         held = self._held.get(table, {})
         for key in held.irange(prefix) if held else ():
@@ -76,7 +69,7 @@
     def count(self, table: str) -> int:
         return len(self._held.get(table, ()))
 
-    def weight(self, table: str) -> int:
+    def table_size(self, table: str) -> int:
         """Bytes of all its rows as changes, from above."""
         return self._weights[table]
 
@@ -84,7 +77,7 @@
         """All its rows, as messages carry them."""
         return [change for _, change in self._held[table].values()]
 
-    def made(self, put: RowUpdate) -> tuple[Any, messages.RowChange]:
+    def encode(self, put: RowUpdate) -> tuple[Any, messages.RowChange]:
         """The row as it would stand, and its change; raises InvalidRowError or TooLarge, and changes nothing."""
         self._known(put.table, put.key)
         if put.row is None:
@@ -97,9 +90,9 @@
             raise RowTooLargeError(f"{put.table} {put.key!r}: a number past 64 bits: {error}") from None
         except (TypeError, ValueError) as error:
             raise InvalidRowError(f"{put.table} {put.key!r}: {error}") from None
-        return self.read(put.table, put.key, octets)
+        return self.decode(put.table, put.key, octets)
 
-    def read(self, table: str, key: str, octets: bytes | None) -> tuple[Any, messages.RowChange]:
+    def decode(self, table: str, key: str, octets: bytes | None) -> tuple[Any, messages.RowChange]:
         """The same from a row's octets. What stands is what they say, so a copy of it can't differ."""
         self._known(table, key)
         if octets is None:
@@ -117,14 +110,14 @@
             raise InvalidRowError(f"no table {table!r}; there are {', '.join(self.types)}")
         if not isinstance(key, str):
             raise InvalidRowError(f"{table}: {key!r} is no key")
-        if not 1 <= len(key) <= MOST_KEY:
-            raise RowTooLargeError(f"{table}: a key of {len(key)} characters; 1 to {MOST_KEY} are allowed")
+        if not 1 <= len(key) <= MAX_KEY_LENGTH:
+            raise RowTooLargeError(f"{table}: a key of {len(key)} characters; 1 to {MAX_KEY_LENGTH} are allowed")
         try:
             key.encode()
         except UnicodeEncodeError:
             raise InvalidRowError(f"{table}: {key!r} can't be sent") from None
 
-    def lay(self, made: Iterable[tuple[Any, messages.RowChange]]) -> tuple[messages.RowChange, ...]:
+    def write(self, made: Iterable[tuple[Any, messages.RowChange]]) -> tuple[messages.RowChange, ...]:
         """Puts in what `made` or `read` gave; hands back what is not as it was before, in that order."""
         moved: dict[tuple[str, str], messages.RowChange] = {}
         for row, change in made:
@@ -133,23 +126,23 @@
             if (old[1].octets if old else None) == change.octets:
                 continue
             if old:
-                self._weights[change.table] -= weight(old[1])
-                self.sums[change.table] -= trace(old[1])
+                self._weights[change.table] -= encoded_size(old[1])
+                self.digest_sums[change.table] -= row_digest(old[1])
             if change.octets is None:
                 del held[change.key]
             else:
                 held[change.key] = row, change
-                self._weights[change.table] += weight(change)
-                self.sums[change.table] += trace(change)
+                self._weights[change.table] += encoded_size(change)
+                self.digest_sums[change.table] += row_digest(change)
             moved.pop(place, None)
             moved[place] = change
         return tuple(moved.values())
 
-    def take(self, puts: Iterable[RowUpdate]) -> tuple[messages.RowChange, ...]:
+    def apply_updates(self, puts: Iterable[RowUpdate]) -> tuple[messages.RowChange, ...]:
         """All of them, or none and an error."""
-        return self.lay([self.made(put) for put in puts])
+        return self.write([self.encode(put) for put in puts])
 
-    def standing(self, table: str, key: str) -> tuple[Any, messages.RowChange]:
+    def stored(self, table: str, key: str) -> tuple[Any, messages.RowChange]:
         """What `lay` needs to put it back as it is."""
         return self._held[table].get(key) or (None, messages.RowChange(table, key, None))
 
@@ -160,6 +153,6 @@
             told.update(_out.encode((name, [(key, change.octets) for key, (_, change) in held.items()])))
         return told.hexdigest()
 
-    def become(self, other: Tables) -> None:
+    def replace_contents(self, other: Tables) -> None:
         """Takes over the rows of another with the same types."""
-        self._held, self._weights, self.sums = other._held, other._weights, other.sums
+        self._held, self._weights, self.digest_sums = other._held, other._weights, other.digest_sums
--- a/brookreach/disruption/application.py
+++ b/brookreach/disruption/application.py
@@ -24,13 +24,13 @@
 
 def changes(draft: StagedChanges) -> list[RowUpdate]:
     """Without what was taken out and put back as it was."""
-    return [put for put in draft.updates() if draft.under.get(put.table, put.key) != put.row]
+    return [put for put in draft.updates() if draft.base.get(put.table, put.key) != put.row]
 
 
 class Outages:
     name = "outages"
     version = 1
-    orders: Any = orders.Orders
+    commands: Any = orders.Orders
     tables: Mapping[str, type[Row]] = {
         rows.NODES: rows.NodeRow,
         rows.MARSHALS: rows.MarshalRow,
--- a/brookreach/disruption/internal_tables.py
+++ b/brookreach/disruption/internal_tables.py
@@ -100,13 +100,15 @@
     The view under a record's draft doesn't change while the record is applied, so walking it is safe.
     """
     if not isinstance(view, StagedChanges):
-        yield from getattr(view, "walk", view.rows)(table, prefix)
+        yield from getattr(view, "iterate", view.rows)(table, prefix)
         return
-    laid = sorted((key, 0, row) for (name, key), row in view.over.items() if name == table and key.startswith(prefix))
+    laid = sorted(
+        (key, 0, row) for (name, key), row in view.changes.items() if name == table and key.startswith(prefix)
+    )
     if not laid:
-        yield from ordered(view.under, table, prefix)
+        yield from ordered(view.base, table, prefix)
         return
-    under = ((key, 1, row) for key, row in ordered(view.under, table, prefix))
+    under = ((key, 1, row) for key, row in ordered(view.base, table, prefix))
     merged = heapq.merge(laid, under, key=lambda one: one[:2])
     for key, same in groupby(merged, key=lambda one: one[0]):
         row = next(same)[2]
--- a/brookreach/disruption/permits.py
+++ b/brookreach/disruption/permits.py
@@ -87,7 +87,7 @@
         ask(trial, context, name, what, wanted[name], urgency, reason)
     if any(trial.get(PERMITS, name).state != "given" for name in wanted):
         return False
-    draft.take(trial.updates())
+    draft.apply_updates(trial.updates())
     return True
 
 
--- a/brookreach/gang_scheduling/application.py
+++ b/brookreach/gang_scheduling/application.py
@@ -31,7 +31,7 @@
 
     name = "gangs"
     version = 1
-    orders: Any = orders.Orders
+    commands: Any = orders.Orders
     tables: Mapping[str, type[Row]] = {
         rows.GANGS: rows.GangRow,
         rows.MEMBERS: rows.MemberRow,
@@ -120,7 +120,7 @@
 def _changes(desk: Desk) -> list[RowUpdate]:
     """Without what was put back as it was."""
     draft = desk.draft
-    return [put for put in draft.updates() if draft.under.get(put.table, put.key) != put.row]
+    return [put for put in draft.updates() if draft.base.get(put.table, put.key) != put.row]
 
 
 def _look(desk: Desk, gang: str) -> None:
@@ -207,7 +207,7 @@
         )
     gangs = _released(desk, by)
     desk.draft.put(rows.HANDS, by, rows.HandRow(session, order.life))
-    if desk.draft.under.count(rows.QUEUE):
+    if desk.draft.base.count(rows.QUEUE):
         desk.round(desk.now)
     return gangs
 
--- a/brookreach/gang_scheduling/carbon_placement.py
+++ b/brookreach/gang_scheduling/carbon_placement.py
@@ -62,7 +62,7 @@
         left,
     )
     choice = choose(desk.draft, desk.now, job, free_by_zone(desk))
-    desk.draft.take(take(desk.draft, desk.now, job.who, job.room, choice.spans))
+    desk.draft.apply_updates(take(desk.draft, desk.now, job.who, job.room, choice.spans))
     return ((choice.zone,), choice.from_ms) if choice.zone else ((), desk.now)
 
 
@@ -92,4 +92,4 @@
 def let_go(desk: Desk, name: str, row: GangRow) -> None:
     """It has ended: what it reserved is for others."""
     if row.flexible:
-        desk.draft.take(release(desk.draft, who(name)))
+        desk.draft.apply_updates(release(desk.draft, who(name)))
--- a/brookreach/gang_scheduling/transaction.py
+++ b/brookreach/gang_scheduling/transaction.py
@@ -116,7 +116,7 @@
         self.draft.put(ROOMS, node, RoomRow(taken) if taken else None)
         if "stock" in self.__dict__:
             self.stock.take(node, room)
-        if room < 0 and self.draft.under.count(QUEUE):
+        if room < 0 and self.draft.base.count(QUEUE):
             self.round(self.now)
 
     def put_gang(self, name: str, row: GangRow) -> None:
--- a/brookreach/model/keepers_crowd.py
+++ b/brookreach/model/keepers_crowd.py
@@ -18,7 +18,7 @@
 from brookreach.coordination.ports import PendingSave, Ready, Timing
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.protocol.frames import seal_frame
-from brookreach.coordination.protocol.stream import BOUNDS, HEAD
+from brookreach.coordination.protocol.stream import DEFAULT_LIMITS, LENGTH_PREFIX_BYTES
 from brookreach.coordination.protocol.tags import wire_name
 from brookreach.coordination.server.replica import Replica
 from brookreach.coordination.state_machine import sessions
@@ -54,11 +54,11 @@
 def fleet(nodes: int) -> StateMachine:
     """A state with so many nodes, ready and warm, whose agents have no sessions: none ends meanwhile."""
     machine = StateMachine(load_applications())
-    machine.apply(messages.Entry(1, 1, sessions.ordered(sessions.TimePassed(), WALL)))
+    machine.apply(messages.Entry(1, 1, sessions.encode_command(sessions.TimePassed(), WALL)))
     orders: list[tuple[str, str, Command]] = [("op", "operator", budgets(nodes))]
     orders += [(f"n{nth}", "agent", seen(f"n{nth}")) for nth in range(nodes)]
     for by, kind, order in orders:
-        machine.view.take(APPLICATION.apply(machine.view, order, Context(1, WALL, by, kind, 1)))
+        machine.view.apply_updates(APPLICATION.apply(machine.view, order, Context(1, WALL, by, kind, 1)))
     fresh = StateMachine(load_applications())
     fresh.restore(machine.snapshot())
     return fresh
@@ -130,7 +130,7 @@
         call(keeper)
         for _ in range(64):
             if keeper.watches.waits and name in self.links:
-                keeper.held = self.links[name].full(BOUNDS.behind)
+                keeper.held = self.links[name].full(DEFAULT_LIMITS.watch_pause_bytes)
             ready = keeper.ready()
             if ready == Ready():
                 break
@@ -168,7 +168,7 @@
     # --- the wire ---
 
     def _say(self, source: str, target: str, body: messages.Body) -> None:
-        octets = HEAD + len(seal_frame(KEY, "g", source, target, body))
+        octets = LENGTH_PREFIX_BYTES + len(seal_frame(KEY, "g", source, target, body))
         if source in self.keepers:
             self.handed[source] += octets
             self.bursts[source, int(self.now) // BUCKET_MS] += octets
--- a/brookreach/simulation/carbon_aware/drill.py
+++ b/brookreach/simulation/carbon_aware/drill.py
@@ -71,7 +71,7 @@
     for nth, (name, some) in enumerate(calls.items()):
         world.say(now, commands.Steer(now // SLOT_MS, some, zones), name, "marshal", nth + 1)
         if nth == MARSHALS // 2:  # what it held is for others again
-            world.view.take(APPLICATION.end_session(world.view, Context(world.index, now, "m0", "marshal", 1)))
+            world.view.apply_updates(APPLICATION.end_session(world.view, Context(world.index, now, "m0", "marshal", 1)))
     sent = dict.fromkeys(zones, 0)
     for name, some in calls.items():
         for zone, weight in zone_preference.weights(world.view, now, name, usual, some).items():
--- a/brookreach/simulation/carbon_aware/model.py
+++ b/brookreach/simulation/carbon_aware/model.py
@@ -174,7 +174,7 @@
         """One record of the log."""
         self.index += 1
         try:
-            self.view.take(APPLICATION.apply(self.view, order, Context(self.index, at_ms, by, kind, session)))
+            self.view.apply_updates(APPLICATION.apply(self.view, order, Context(self.index, at_ms, by, kind, session)))
         except CommandRejectedError as refusal:
             self.refused.append(str(refusal))
             return False
@@ -197,7 +197,7 @@
         for at in sorted(ticks):
             self._worked(last, at)
             self.index += 1
-            self.view.take(APPLICATION.advance_time(self.view, Context(self.index, at, "", "", 0)))
+            self.view.apply_updates(APPLICATION.advance_time(self.view, Context(self.index, at, "", "", 0)))
             for when, what in self.events:
                 if when == at:
                     what(self, at)
@@ -220,7 +220,7 @@
             if one.left_ms <= 0:
                 one.run.finished = True
                 del self.going[name]
-                self.view.take(reservations.release(self.view, name))
+                self.view.apply_updates(reservations.release(self.view, name))
 
     def _told(self, one: Going, at: int) -> None:
         zone, now = self.decide(self, one, at)
@@ -246,7 +246,7 @@
         run.from_ms if run else 0,
     )
     told = scheduler.choose(world.view, at, asked, world.case.free(at // SLOT_MS), later)
-    world.view.take(reservations.take(world.view, at, job.name, job.room, told.spans))
+    world.view.apply_updates(reservations.take(world.view, at, job.name, job.room, told.spans))
     return told.zone, bool(told.zone) and told.from_ms <= at
 
 
--- a/brookreach/simulation/coordination/invariants.py
+++ b/brookreach/simulation/coordination/invariants.py
@@ -89,7 +89,7 @@
                 caller.asked.setdefault((body.session, body.seq), Asked(body.body, now))
             case messages.ReadRequest():
                 caller.reads.setdefault(body.seq, (body, self.acknowledged))
-            case messages.RequestVoteReply() if body.given and not body.trial:
+            case messages.RequestVoteReply() if body.vote_granted and not body.pre_vote:
                 self.promised(now, "one vote a term", source, body.term, target)
             case messages.AppendEntries() | messages.InstallSnapshot():
                 self.promised(now, "one leader a term", "the group", body.term, source)
@@ -128,7 +128,7 @@
         stamped = self.stamped(done.index)
         if (
             stamped is None
-            or stamped.by != client
+            or stamped.client != client
             or stamped.body != asked.record
             or (stamped.session, stamped.seq) != (caller.session, done.seq)
         ):
--- a/brookreach/simulation/coordination/sample_application.py
+++ b/brookreach/simulation/coordination/sample_application.py
@@ -58,7 +58,7 @@
 class Toy:
     name = "toy"
     version = 1
-    orders: Any = Add | Take | Drop
+    commands: Any = Add | Take | Drop
     tables: Mapping[str, type[Row]] = {MARKS: MarkRow, COUNTS: CountRow, HOLDS: HoldRow}
 
     def apply(self, view: View, order: Add | Take | Drop, context: Context) -> list[RowUpdate]:
--- a/brookreach/simulation/engine/ordered_tables.py
+++ b/brookreach/simulation/engine/ordered_tables.py
@@ -20,9 +20,9 @@
         return self.tables.get(table, {}).get(key)
 
     def rows(self, table: str, prefix: str = "") -> Iterable[tuple[str, Any]]:
-        return list(self.walk(table, prefix))
+        return list(self.iterate(table, prefix))
 
-    def walk(self, table: str, prefix: str = "") -> Iterable[tuple[str, Any]]:
+    def iterate(self, table: str, prefix: str = "") -> Iterable[tuple[str, Any]]:
         held = self.tables.get(table)
         if held is not None:
             for key in held.irange(prefix, prefix + "\U0010ffff"):
@@ -31,7 +31,7 @@
     def count(self, table: str) -> int:
         return len(self.tables.get(table, {}))
 
-    def take(self, puts: Iterable[RowUpdate]) -> None:
+    def apply_updates(self, puts: Iterable[RowUpdate]) -> None:
         for one in puts:
             held = self.tables.setdefault(one.table, SortedDict())
             if one.row is None:
--- a/brookreach/simulation/engine/world.py
+++ b/brookreach/simulation/engine/world.py
@@ -15,6 +15,7 @@
 from collections.abc import Sequence
 from typing import TYPE_CHECKING, Any
 
+from brookreach.coordination.errors import InvalidFrameError
 from brookreach.coordination.protocol import frames, messages
 from brookreach.coordination.protocol.tags import wire_name
 from brookreach.simulation.engine.faults import LEADER, Fault
@@ -135,7 +136,7 @@
         try:
             frame = frames.open_frame(KEY, GROUP, target, parcel.octets)
             self.may(frame, party, source)
-        except messages.InvalidFrameError as error:
+        except InvalidFrameError as error:
             self.refused[error.name] += 1
             self.trace(target, f"refused {error.name}")
             if parcel.nth == self.tampered:
@@ -164,7 +165,7 @@
         if not party.keeps:
             may = messages.SERVER_MESSAGES
         if not isinstance(frame.body, may) or frame.source != source:
-            raise messages.InvalidFrameError("not its to say", f"{frame.source}: {wire_name(frame.body)}")
+            raise InvalidFrameError("not its to say", f"{frame.source}: {wire_name(frame.body)}")
 
     def hung_up(self, keeper: str, client: str, connection: int) -> bool:
         """Whether the end of this connection is that of the one which stands there."""
--- a/brookreach/simulation/gang_scheduling/cluster_model.py
+++ b/brookreach/simulation/gang_scheduling/cluster_model.py
@@ -82,7 +82,7 @@
         return ""
 
     def take(self, puts: list[RowUpdate]) -> None:
-        self.view.take(puts)
+        self.view.apply_updates(puts)
         touched: dict[str, None] = {}
         for one in puts:
             if one.table == PERMITS:
@@ -173,7 +173,7 @@
         return node
 
     def set_node(self, name: str, row: NodeRow) -> None:
-        self.view.take([RowUpdate(NODES, name, row)])
+        self.view.apply_updates([RowUpdate(NODES, name, row)])
 
     def notice(self, name: str, retires: float) -> None:
         """Told now: the node goes at `retires` of the world's time; 0 withdraws it."""
--- a/brookreach/simulation/mutation/frame_mutators.py
+++ b/brookreach/simulation/mutation/frame_mutators.py
@@ -10,6 +10,7 @@
 import random
 from collections.abc import Callable, Iterable, Iterator, Sequence
 
+from brookreach.coordination.errors import InvalidFrameError
 from brookreach.coordination.protocol import frames as seal
 from brookreach.coordination.protocol import messages
 from brookreach.simulation.engine.transit import GROUP, KEY, Frame, Sent
@@ -34,7 +35,7 @@
     """A change under a right seal: readable, or to be refused for what it says."""
     try:
         body = seal.open_frame(KEY, GROUP, frame.target, octets).body
-    except messages.InvalidFrameError:
+    except InvalidFrameError:
         return Change(family, where, how, (Sent(octets, None, 0.0, source),), plain=True)
     return Change(family, where, how, (Sent(octets, body, 0.0, source),))
 
--- a/brookreach/simulation/mutation/outcomes.py
+++ b/brookreach/simulation/mutation/outcomes.py
@@ -35,7 +35,7 @@
         frozenset(("term", "last_index", "last_term")),
         "how new its log is, only the one who stands knows",
     ),
-    "Vote": (frozenset(("term", "trial", "given")), "whether it gave its vote, only the voter knows"),
+    "Vote": (frozenset(("term", "pre_vote", "vote_granted")), "whether it gave its vote, only the voter knows"),
     "Append": (ALL, "what the log is, the leader says"),
     "Appended": (frozenset(("term", "ok", "index", "round")), "what is on its disk, only the follower knows"),
     "Part": (ALL, "what the state was, the leader says"),
@@ -105,7 +105,7 @@
         case messages.ProposeReply() | messages.AppendEntriesReply():
             return not body.ok
         case messages.RequestVoteReply():
-            return not body.given
+            return not body.vote_granted
     return False
 
 
