--- a/brookreach/capacity/measure_anew.py
+++ b/brookreach/capacity/measure_anew.py
@@ -9,10 +9,10 @@
 import click
 
 from brookreach.applications import load_applications
-from brookreach.coordination.ports import Timing
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.state_machine.application import StagedChanges
 from brookreach.coordination.state_machine.machine import StateMachine
+from brookreach.coordination.timing import Timing
 from brookreach.disruption import deadlines
 from brookreach.disruption.permits import KEEP_MS
 from brookreach.disruption.tables import PERMITS, PermitRow
--- a/brookreach/capacity/measure_leader.py
+++ b/brookreach/capacity/measure_leader.py
@@ -8,10 +8,10 @@
 import time
 
 from brookreach.capacity.samples import FAR_INDEX, GROUP
-from brookreach.coordination.ports import Timing
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.protocol.frames import open_frame, seal_frame
 from brookreach.coordination.server.replica import Replica
+from brookreach.coordination.timing import Timing
 from brookreach.model.keepers_crowd import KEY, Crowd
 
 BATCH = 256  # renewals that a keeper reads before it answers
@@ -37,7 +37,7 @@
         began = time.process_time()
         for octets in frames:
             frame = open_frame(KEY, GROUP, name, octets)
-            leader.hear(crowd.now, crowd.wall(), frame.source, frame.body)
+            leader.handle_message(crowd.now, crowd.wall(), frame.source, frame.body)
         spent += time.process_time() - began
         taken, answered = confirm(crowd, leader)
         spent += taken
@@ -55,21 +55,21 @@
         ready = leader.ready()
         for target, body in ready.send:
             seal_frame(KEY, GROUP, leader.me, target, body)
-        leader.taken(crowd.now, ready)
+        leader.advance(crowd.now, ready)
         spent += time.process_time() - began
         answered += sum(isinstance(body, messages.KeepAliveReply) for _, body in ready.send)
         for target, body in ready.send:
             follower = crowd.keepers.get(target)
             if follower is None:
                 continue
-            follower.hear(crowd.now, crowd.wall(), leader.me, body)
+            follower.handle_message(crowd.now, crowd.wall(), leader.me, body)
             reply = follower.ready()
             if reply.save is not None:
                 crowd.disks[target].save(reply.save)
-            follower.taken(crowd.now, reply)
+            follower.advance(crowd.now, reply)
             began = time.process_time()
             for to, said in reply.send:
                 if to == leader.me:
-                    leader.hear(crowd.now, crowd.wall(), target, said)
+                    leader.handle_message(crowd.now, crowd.wall(), target, said)
             spent += time.process_time() - began
     return spent, answered
--- a/brookreach/cli/fleet.py
+++ b/brookreach/cli/fleet.py
@@ -45,7 +45,7 @@
     """Run one keeper until SIGTERM."""
     from brookreach.applications import load_applications
     from brookreach.cli.structured import writer
-    from brookreach.coordination.server.process import keep as run
+    from brookreach.coordination.server.process import run_replica as run
     from brookreach.net.report import Report
 
     sys.exit(run(file, keeper, load_applications(), Report(keeper, 20, writer(log, keeper)).say))
@@ -56,7 +56,7 @@
 @click.option("--keeper", "keepers", multiple=True, help="Whose disk, as often as wanted; else all of FILE.")
 def found(file: Path, keepers: tuple[str, ...]) -> None:
     """Begin a new group of all keepers of FILE: once in its life, on empty disks."""
-    _begin(file, keepers, lambda disk, names: disk.found(names))
+    _begin(file, keepers, lambda disk, names: disk.bootstrap(names))
 
 
 @fleet.command()
@@ -69,13 +69,13 @@
 
 def _begin(file: Path, keepers: tuple[str, ...], begin: Callable[[Any, tuple[str, ...]], None]) -> None:
     from brookreach.coordination import configuration as config
-    from brookreach.coordination.server.process import disk_of
+    from brookreach.coordination.server.process import open_storage
 
     def each() -> None:
         told = config.read(file)
         names = tuple(one.name for one in told.keeper)
         for name in keepers or names:
-            disk = disk_of(file, told, name)
+            disk = open_storage(file, told, name)
             begin(disk, names)
             disk.close()
             click.echo(f"{name}: {disk.path}")
--- a/brookreach/cli/scale_control.py
+++ b/brookreach/cli/scale_control.py
@@ -238,7 +238,7 @@
 @JSON
 def counts(marshals: tuple[int, ...], nodes: tuple[int, ...], seed: int, as_json: bool) -> None:
     """Bytes and rows that marshals are told, exactly: the same code under a virtual clock, in one process."""
-    from brookreach.coordination.ports import Timing
+    from brookreach.coordination.timing import Timing
     from brookreach.scale import control_counts
 
     tell = progress("scale counts", as_json)
--- a/brookreach/cli/talked.py
+++ b/brookreach/cli/talked.py
@@ -29,7 +29,7 @@
 def said(call: Callable[[], Any]) -> Any:
     """What a command of the group does; its errors as one line and exit code 1."""
     from brookreach.coordination.client.one_shot import ClusterUnreachableError
-    from brookreach.coordination.ports import StorageError
+    from brookreach.coordination.errors import StorageError
     from brookreach.files import BadFile
 
     words = (BadFile, StorageError, ClusterUnreachableError)
--- a/brookreach/coordination/client/client.py
+++ b/brookreach/coordination/client/client.py
@@ -18,9 +18,9 @@
 from brookreach.coordination.client.requests import MOST_ASKS, RequestOutOfOrderError, RequestQueue
 from brookreach.coordination.client.session_holder import SessionHolder, SessionNotHeldError
 from brookreach.coordination.client.watch import Watching
-from brookreach.coordination.ports import Timing
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.state_machine.application import Command, Row
+from brookreach.coordination.timing import Timing
 
 
 class Client(SessionHolder):
--- a/brookreach/coordination/client/leader_discovery.py
+++ b/brookreach/coordination/client/leader_discovery.py
@@ -9,7 +9,7 @@
 import random
 from collections.abc import Sequence
 
-from brookreach.coordination.ports import Timing
+from brookreach.coordination.timing import Timing
 
 MOST_DOUBLED = 12
 WAIT = 10  # leases: a keeper that says to come back later than that is not believed
@@ -19,7 +19,7 @@
     """Each longer than the one before, until something goes well; not the same for two that began at once."""
 
     def __init__(self, timing: Timing, chance: random.Random):
-        self._first, self._most_told = timing.beat_ms, WAIT * timing.lease_ms
+        self._first, self._most_told = timing.heartbeat_ms, WAIT * timing.lease_ms
         self._chance, self._failed = chance, 0
 
     def went_well(self) -> None:
--- a/brookreach/coordination/client/lease.py
+++ b/brookreach/coordination/client/lease.py
@@ -9,8 +9,8 @@
 
 import random
 
-from brookreach.coordination.ports import Timing
 from brookreach.coordination.protocol import messages
+from brookreach.coordination.timing import Timing
 
 APART = 10  # a lease told so many times as long or short as our own is no lease
 RENEWS = 1 << 52  # Renews are numbered from here, Asks below; the first is drawn, so that none comes twice
--- a/brookreach/coordination/client/requests.py
+++ b/brookreach/coordination/client/requests.py
@@ -15,10 +15,10 @@
 
 from brookreach.coordination.client.events import OutcomeUnknown, ReplyReceived
 from brookreach.coordination.client.leader_discovery import Pauses
-from brookreach.coordination.ports import Timing
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.state_machine.application import Command
 from brookreach.coordination.state_machine.sessions import SPARE
+from brookreach.coordination.timing import Timing
 
 MOST_ASKS = 64
 
--- a/brookreach/coordination/client/watch.py
+++ b/brookreach/coordination/client/watch.py
@@ -12,8 +12,8 @@
 from brookreach.coordination.client.cache import RejectedUpdateError, TableCache
 from brookreach.coordination.client.events import RowsChanged, RowUnreadable
 from brookreach.coordination.client.leader_discovery import WAIT, Pauses
-from brookreach.coordination.ports import Timing
 from brookreach.coordination.protocol import messages
+from brookreach.coordination.timing import Timing
 
 
 class Watching:
--- a/brookreach/coordination/configuration.py
+++ b/brookreach/coordination/configuration.py
@@ -15,8 +15,8 @@
 
 import msgspec
 
-from brookreach.coordination.ports import Timing
 from brookreach.coordination.protocol import messages
+from brookreach.coordination.timing import Timing
 from brookreach.files import BadFile, checked, read_bounded, read_toml
 from brookreach.net.stream import address
 
@@ -81,7 +81,15 @@
         return {one.name: address(one.listen) for one in self.keeper}
 
     def times(self) -> Timing:
-        return Timing(**msgspec.structs.asdict(self.timing))
+        """The table [timing] as the processes use it."""
+        return Timing(
+            heartbeat_ms=self.timing.beat_ms,
+            election_timeout_ms=self.timing.election_ms,
+            lease_ms=self.timing.lease_ms,
+            drift=self.timing.drift,
+            max_pending_proposals=self.timing.most_queued,
+            snapshot_interval_entries=self.timing.cut_entries,
+        )
 
 
 def read_values(path: Path, values: dict[str, Any]) -> ClusterConfiguration:
--- a/brookreach/coordination/raft/election.py
+++ b/brookreach/coordination/raft/election.py
@@ -13,91 +13,91 @@
 class Election:
     """`wall_ms` is the low median of the clocks that came with the votes which made this keeper a leader."""
 
-    def __init__(self, core: NodeState):
-        self.core = core
+    def __init__(self, state: NodeState):
+        self.state = state
         self.votes: set[str] = set()
         self.walls: dict[str, int] = {}
         self.wall_ms = 0
 
     def timed_out(self) -> None:
         """No leader was heard for long enough: ask whether standing has a prospect."""
-        core = self.core
-        core.step_down()
-        if core.me in core.seats:
-            core.role = TRIES
-            self._ask(core.term + 1, trial=True, handed=False)
+        state = self.state
+        state.step_down()
+        if state.me in state.members:
+            state.role = TRIES
+            self._ask(state.term + 1, trial=True, handed=False)
 
     def stand(self, handed: bool) -> None:
-        core = self.core
-        core.rise(core.term + 1)
-        core.vote_for(core.me)
-        core.role = STANDS
-        self._ask(core.term, trial=False, handed=handed)
+        state = self.state
+        state.rise(state.term + 1)
+        state.vote_for(state.me)
+        state.role = STANDS
+        self._ask(state.term, trial=False, handed=handed)
 
     def _ask(self, term: int, trial: bool, handed: bool) -> None:
-        core = self.core
-        self.votes, self.walls = {core.me}, {core.me: core.wall_ms}
-        ask = RequestVote(term, core.log.last, core.log.last_term, trial, handed)
-        for other in core.others():
-            core.say(other, ask)
+        state = self.state
+        self.votes, self.walls = {state.me}, {state.me: state.wall_ms}
+        ask = RequestVote(term, state.log.last, state.log.last_term, trial, handed)
+        for other in state.others():
+            state.say(other, ask)
         self._count()
 
     def _count(self) -> None:
-        core = self.core
-        if not core.majority(self.votes):
+        state = self.state
+        if not state.majority(self.votes):
             return
-        if core.role == TRIES:
+        if state.role == TRIES:
             self.stand(handed=False)
-        elif core.role == STANDS:
-            core.role, core.leader = LEADS, core.me
+        elif state.role == STANDS:
+            state.role, state.leader = LEADS, state.me
             clocks = sorted(self.walls.values())
             self.wall_ms = clocks[(len(clocks) - 1) // 2]
 
     def asked(self, source: str, ask: RequestVote) -> None:
         """One without a seat that I know may ask: its seat may stand further on in the log than mine ends."""
-        core = self.core
+        state = self.state
         if ask.last_term >= ask.term or (ask.last_index == 0) != (ask.last_term == 0):
-            return core.refuse("a log that can't be")
-        handed = ask.handed and source in core.seats
-        if core.hears_leader() and not handed:
+            return state.refuse("a log that can't be")
+        handed = ask.handed and source in state.members
+        if state.hears_leader() and not handed:
             given = False
         elif ask.trial:
-            given = ask.term > core.term and not core.behind(ask)
+            given = ask.term > state.term and not state.behind(ask)
         else:
             given = self._voted_for(source, ask)
-        term = ask.term if ask.trial and given else core.term
-        core.say(source, RequestVoteReply(term, ask.trial, given, core.wall_ms))
+        term = ask.term if ask.trial and given else state.term
+        state.say(source, RequestVoteReply(term, ask.trial, given, state.wall_ms))
 
     def _voted_for(self, source: str, ask: RequestVote) -> bool:
-        core = self.core
-        if ask.term > core.term:
-            core.rise(ask.term)
-        if ask.term < core.term or core.vote not in ("", source) or core.leader or core.behind(ask):
+        state = self.state
+        if ask.term > state.term:
+            state.rise(ask.term)
+        if ask.term < state.term or state.voted_for not in ("", source) or state.leader or state.behind(ask):
             return False
-        core.vote_for(source)
-        core.step_down()  # it waits for the one it voted for
+        state.vote_for(source)
+        state.step_down()  # it waits for the one it voted for
         return True
 
     def answered(self, source: str, vote: RequestVoteReply) -> None:
-        core = self.core
-        if source not in core.seats:
-            return core.refuse("not a seat")
-        asked = core.term + 1 if vote.trial and vote.given else core.term
+        state = self.state
+        if source not in state.members:
+            return state.refuse("not a seat")
+        asked = state.term + 1 if vote.trial and vote.given else state.term
         if vote.term > asked:
             if vote.given:
-                return core.refuse("a vote never asked for")
-            return core.rise(vote.term)
-        waits = core.role == (TRIES if vote.trial else STANDS)
+                return state.refuse("a vote never asked for")
+            return state.rise(vote.term)
+        waits = state.role == (TRIES if vote.trial else STANDS)
         if vote.given and vote.term == asked and waits:
             self.votes.add(source)
             self.walls[source] = vote.wall_ms
             self._count()
 
     def handed(self, source: str, message: TimeoutNow) -> None:
-        core = self.core
-        if message.term != core.term or source != core.leader or core.role != FOLLOWS:
-            core.refuse("not my leader")
-        elif core.me not in core.seats:
-            core.refuse("no seat of mine")
+        state = self.state
+        if message.term != state.term or source != state.leader or state.role != FOLLOWS:
+            state.refuse("not my leader")
+        elif state.me not in state.members:
+            state.refuse("no seat of mine")
         else:
             self.stand(handed=True)
--- a/brookreach/coordination/raft/follower.py
+++ b/brookreach/coordination/raft/follower.py
@@ -13,9 +13,9 @@
     InstallSnapshot,
     InstallSnapshotReply,
 )
-from brookreach.coordination.raft.membership import listed
+from brookreach.coordination.raft.membership import decode_members
 from brookreach.coordination.raft.node_state import FOLLOWS, LEADS, NodeState
-from brookreach.coordination.raft.snapshot_transfer import Taking, Torn
+from brookreach.coordination.raft.snapshot_transfer import SnapshotReceiver, SnapshotTransferError
 
 
 def misshapen(append: AppendEntries) -> str | None:
@@ -31,89 +31,89 @@
             return "terms that run backwards"
         term = entry.term
         try:
-            listed(entry.octets)
+            decode_members(entry.octets)
         except ValueError:
             return "seats that can't be read"
     return "terms that run ahead" if term > append.term else None
 
 
 class Follower:
-    def __init__(self, core: NodeState):
-        self.core = core
-        self.taking = Taking()
+    def __init__(self, state: NodeState):
+        self.state = state
+        self.taking = SnapshotReceiver()
 
     def _follows(self, source: str, term: int) -> bool:
-        core = self.core
-        if term == core.term and (core.role == LEADS or core.leader not in ("", source)):
-            core.refuse("another leads this term")
+        state = self.state
+        if term == state.term and (state.role == LEADS or state.leader not in ("", source)):
+            state.refuse("another leads this term")
             return False
-        if term > core.term:
-            core.rise(term)
-        core.role, core.leader, core.heard_at = FOLLOWS, source, core.now
-        core.rest()
+        if term > state.term:
+            state.rise(term)
+        state.role, state.leader, state.heard_at = FOLLOWS, source, state.now
+        state.rest()
         return True
 
     def append(self, source: str, message: AppendEntries) -> None:
-        core, log = self.core, self.core.log
+        state, log = self.state, self.state.log
         wrong = misshapen(message)
         if wrong:
-            return core.refuse(wrong)
-        if message.term < core.term:  # so that it hears of the newer term
-            return core.say(source, AppendEntriesReply(core.term, False, log.last, message.round))
+            return state.refuse(wrong)
+        if message.term < state.term:  # so that it hears of the newer term
+            return state.say(source, AppendEntriesReply(state.term, False, log.last, message.round))
         if not self._follows(source, message.term):
             return
         prev, end = message.prev_index, message.prev_index + len(message.entries)
         if prev >= log.base and log.term_at(prev) != message.prev_term:
-            if prev <= core.commit:
-                return core.refuse("against what is committed")
-            return core.say(source, AppendEntriesReply(core.term, False, self._before(prev), message.round))
+            if prev <= state.commit:
+                return state.refuse("against what is committed")
+            return state.say(source, AppendEntriesReply(state.term, False, self._before(prev), message.round))
         new = self._new(message.entries)
         if new is None:
-            return core.refuse("against what is committed")
+            return state.refuse("against what is committed")
         if new:
-            core.back_to(new[0].index - 1)
-            core.add(new)
-        core.commit = max(core.commit, min(message.commit, end))
+            state.back_to(new[0].index - 1)
+            state.add(new)
+        state.commit = max(state.commit, min(message.commit, end))
         # Up to `commit` every leader has what stands here, so this may be told beyond the message's end.
-        core.say(source, AppendEntriesReply(core.term, True, max(end, core.commit), message.round))
+        state.say(source, AppendEntriesReply(state.term, True, max(end, state.commit), message.round))
 
     def _before(self, prev: int) -> int:
         """Where a leader whose entry at `prev` is another may try: before all of mine of that term."""
-        core, log = self.core, self.core.log
+        state, log = self.state, self.state.log
         if prev > log.last:
             return log.last
         term = log.term_at(prev)
-        while prev > core.commit and log.term_at(prev) == term:
+        while prev > state.commit and log.term_at(prev) == term:
             prev -= 1
         return prev
 
     def _new(self, entries: tuple[Entry, ...]) -> list[Entry] | None:
         """Those from the first on that isn't held; None: one goes against what is committed."""
-        core, log = self.core, self.core.log
+        state, log = self.state, self.state.log
         for nth, entry in enumerate(entries):
             if entry.index < log.base:
                 continue  # in the snapshot
             if log.term_at(entry.index) == entry.term:
                 continue
-            return None if entry.index <= core.commit else list(entries[nth:])
+            return None if entry.index <= state.commit else list(entries[nth:])
         return []
 
     def part(self, source: str, message: InstallSnapshot) -> None:
-        core = self.core
+        state = self.state
         if message.index == 0 or not 1 <= message.index_term <= message.term:
-            return core.refuse("a snapshot that can't be")
-        if message.term < core.term:
-            return core.say(source, AppendEntriesReply(core.term, False, core.log.last, message.round))
+            return state.refuse("a snapshot that can't be")
+        if message.term < state.term:
+            return state.say(source, AppendEntriesReply(state.term, False, state.log.last, message.round))
         if not self._follows(source, message.term):
             return
-        if message.index <= core.commit:
-            return core.say(source, AppendEntriesReply(core.term, True, core.commit, message.round))
+        if message.index <= state.commit:
+            return state.say(source, AppendEntriesReply(state.term, True, state.commit, message.round))
         held, snapshot = 0, None
         try:
             held, snapshot = self.taking.take(message)
-        except Torn as torn:
-            core.refuse(str(torn))
+        except SnapshotTransferError as torn:
+            state.refuse(str(torn))
         if snapshot is None:
-            return core.say(source, InstallSnapshotReply(core.term, message.index, held, message.round))
-        core.install(snapshot)
-        core.say(source, AppendEntriesReply(core.term, True, snapshot.index, message.round))
+            return state.say(source, InstallSnapshotReply(state.term, message.index, held, message.round))
+        state.install(snapshot)
+        state.say(source, AppendEntriesReply(state.term, True, snapshot.index, message.round))
--- a/brookreach/coordination/raft/log.py
+++ b/brookreach/coordination/raft/log.py
@@ -10,12 +10,12 @@
 
 from brookreach.coordination.protocol.messages import MAX_ENTRIES, MAX_FRAME_BYTES, Entry
 
-TAIL = 1024  # entries kept in memory before a snapshot, so that one slightly behind needs no whole
-MOST_BYTES = MAX_FRAME_BYTES // 2  # of entries in one Append
+RETAINED_ENTRIES = 1024  # entries kept in memory before a snapshot, so that one slightly behind needs no whole
+MAX_APPEND_BYTES = MAX_FRAME_BYTES // 2  # of entries in one Append
 AROUND = 32  # bytes that an entry takes in a frame beside its octets, at most
 
 
-class Log:
+class RaftLog:
     """`base` is the place before the first entry in memory; a snapshot holds all up to it at least."""
 
     def __init__(self, base: int, base_term: int, entries: Iterable[Entry]):
@@ -49,7 +49,7 @@
         start, size, count = after - self.base, 0, 0
         for entry in self.entries[start : start + MAX_ENTRIES]:
             size += len(entry.octets) + AROUND
-            if count and size > MOST_BYTES:
+            if count and size > MAX_APPEND_BYTES:
                 break
             count += 1
         return tuple(self.entries[start : start + count])
@@ -64,7 +64,7 @@
 
     def cut(self, place: int) -> None:
         """All up to this place is in a snapshot; a tail of it stays for those slightly behind."""
-        base = place - TAIL
+        base = place - RETAINED_ENTRIES
         if base > self.base:
             self.base_term = self.entries[base - self.base - 1].term
             del self.entries[: base - self.base]
--- a/brookreach/coordination/raft/membership.py
+++ b/brookreach/coordination/raft/membership.py
@@ -15,8 +15,8 @@
 from brookreach.coordination.ports import LogRecord
 from brookreach.coordination.protocol.messages import MAX_MEMBERS, Entry, Name
 
-PIECE, VERSION = "seats", 1
-HEAD = b"\x98\xa5seats"  # how a Stamped of this piece begins in msgpack
+APPLICATION, VERSION = "seats", 1
+ENTRY_PREFIX = b"\x98\xa5seats"  # how a Stamped of this piece begins in msgpack
 _NAME = re.compile(r"[A-Za-z0-9._-]{1,64}")  # as words.Name
 
 Seats = Annotated[tuple[Name, ...], msgspec.Meta(min_length=1, max_length=MAX_MEMBERS)]
@@ -24,35 +24,35 @@
 _seats = msgspec.msgpack.Decoder(Seats, strict=True)
 
 
-def record(seats: tuple[str, ...], at_ms: int) -> bytes:
+def encode_members(members: tuple[str, ...], at_ms: int) -> bytes:
     """The octets of an entry by which these have the seats."""
-    body = msgspec.msgpack.encode(seats)
-    return msgspec.msgpack.encode(LogRecord(PIECE, VERSION, at_ms, "", "", 0, 0, body))
+    body = msgspec.msgpack.encode(members)
+    return msgspec.msgpack.encode(LogRecord(APPLICATION, VERSION, at_ms, "", "", 0, 0, body))
 
 
-def listed(octets: bytes) -> tuple[str, ...] | None:
+def decode_members(octets: bytes) -> tuple[str, ...] | None:
     """The seats that an entry names, None if it is about something else; ValueError if they can't be read."""
-    if not octets.startswith(HEAD):
+    if not octets.startswith(ENTRY_PREFIX):
         return None
     stamped = _stamps.decode(octets)  # msgspec's errors are ValueErrors
     if stamped.version != VERSION:
         raise ValueError(f"seats of version {stamped.version}; {VERSION} is read")
-    seats = _seats.decode(stamped.body)
-    if not proper(seats):
-        raise ValueError(f"seats {', '.join(seats)}: a name twice")
-    return seats
+    members = _seats.decode(stamped.body)
+    if not is_valid_membership(members):
+        raise ValueError(f"seats {', '.join(members)}: a name twice")
+    return members
 
 
-def proper(seats: tuple[str, ...]) -> bool:
-    return 1 <= len(set(seats)) == len(seats) <= MAX_MEMBERS and all(_NAME.fullmatch(one) for one in seats)
+def is_valid_membership(members: tuple[str, ...]) -> bool:
+    return 1 <= len(set(members)) == len(members) <= MAX_MEMBERS and all(_NAME.fullmatch(one) for one in members)
 
 
-def one_apart(seats: tuple[str, ...], others: tuple[str, ...]) -> bool:
+def differs_by_one_member(members: tuple[str, ...], others: tuple[str, ...]) -> bool:
     """Whether exactly one name has come or gone: then any two majorities of both share a keeper."""
-    return len(set(seats) ^ set(others)) == 1
+    return len(set(members) ^ set(others)) == 1
 
 
-class Members:
+class MembershipHistory:
     """`base` are the seats as of the place `since`; `changes` what came after, in order."""
 
     def __init__(self, base: tuple[str, ...], since: int, entries: Iterable[Entry]):
@@ -70,19 +70,19 @@
         return self.changes[-1][0] if self.changes else self.since
 
     def at(self, place: int) -> tuple[str, ...]:
-        return next((seats for index, seats in reversed(self.changes) if index <= place), self.base)
+        return next((members for index, members in reversed(self.changes) if index <= place), self.base)
 
     def take(self, entries: Iterable[Entry]) -> None:
         for entry in entries:
-            seats = listed(entry.octets)
-            if seats is not None:
-                self.changes.append((entry.index, seats))
+            members = decode_members(entry.octets)
+            if members is not None:
+                self.changes.append((entry.index, members))
 
     def back_to(self, place: int) -> None:
         while self.changes and self.changes[-1][0] > place:
             self.changes.pop()
 
-    def begin_at(self, place: int, seats: tuple[str, ...], keep: bool) -> None:
+    def begin_at(self, place: int, members: tuple[str, ...], keep: bool) -> None:
         """From a snapshot on; `keep`: what stands after its place stays."""
-        self.base, self.since = seats, place
+        self.base, self.since = members, place
         self.changes = [one for one in self.changes if keep and one[0] > place]
--- a/brookreach/coordination/raft/node.py
+++ b/brookreach/coordination/raft/node.py
@@ -11,7 +11,7 @@
 import random
 from collections import Counter
 
-from brookreach.coordination.ports import Ready, StorageError, StoredState, Timing
+from brookreach.coordination.errors import StorageError
 from brookreach.coordination.protocol.messages import (
     MAX_COMMAND_BYTES,
     AppendEntries,
@@ -26,9 +26,10 @@
 from brookreach.coordination.raft import membership
 from brookreach.coordination.raft.election import Election
 from brookreach.coordination.raft.follower import Follower
-from brookreach.coordination.raft.node_state import LEADS, MOST_JUMP, NodeState
+from brookreach.coordination.raft.node_state import LEADS, MAX_TERM_INCREASE, NodeState
 from brookreach.coordination.raft.replication import LeaderReplication
-from brookreach.coordination.raft.snapshot_transfer import Snapshot
+from brookreach.coordination.raft.types import Ready, Snapshot, StoredState
+from brookreach.coordination.timing import Timing
 
 
 class RaftNode:
@@ -38,70 +39,75 @@
     holds neither is `mute`.
     """
 
-    def __init__(self, me: str, kept: StoredState, seats: tuple[str, ...], timing: Timing, chance: random.Random):
-        if seats and me in kept.seats and kept.term == kept.index == 0 and set(seats) != set(kept.seats):
-            founded, named = ", ".join(sorted(kept.seats)), ", ".join(sorted(seats))
+    def __init__(self, me: str, kept: StoredState, members: tuple[str, ...], timing: Timing, chance: random.Random):
+        if (
+            members
+            and me in kept.snapshot.members
+            and kept.term == kept.snapshot.index == 0
+            and set(members) != set(kept.snapshot.members)
+        ):
+            founded, named = ", ".join(sorted(kept.snapshot.members)), ", ".join(sorted(members))
             raise StorageError(f"founded with {founded}; named are {named}")
-        self.core = NodeState(me, kept, timing, chance)
-        self.election = Election(self.core)
-        self.follower = Follower(self.core)
-        self.leading: LeaderReplication | None = None
+        self.state = NodeState(me, kept, timing, chance)
+        self.election = Election(self.state)
+        self.follower = Follower(self.state)
+        self.replication: LeaderReplication | None = None
         self.tickets = 0
 
     # --- how it stands ---
 
     @property
-    def leads(self) -> bool:
-        return self.core.role == LEADS
+    def is_leader(self) -> bool:
+        return self.state.role == LEADS
 
     @property
     def leader(self) -> str:
         """ "" where none is known."""
-        return self.core.leader
+        return self.state.leader
 
     @property
     def term(self) -> int:
-        return self.core.term
+        return self.state.term
 
     @property
-    def seats(self) -> tuple[str, ...]:
-        return self.core.seats
+    def members(self) -> tuple[str, ...]:
+        return self.state.members
 
     @property
-    def committed(self) -> int:
-        return self.core.commit
+    def commit_index(self) -> int:
+        return self.state.commit
 
     @property
-    def mute(self) -> bool:
-        return self.core.mute
+    def is_uninitialized(self) -> bool:
+        return self.state.is_uninitialized
 
     @property
-    def refusals(self) -> Counter[str]:
-        return self.core.refusals
+    def rejections(self) -> Counter[str]:
+        return self.state.rejections
 
     @property
     def wall_ms(self) -> int:
         """This keeper's own clock, as the caller last set it; it goes with votes."""
-        return self.core.wall_ms
+        return self.state.wall_ms
 
     @wall_ms.setter
     def wall_ms(self, value: int) -> None:
-        self.core.wall_ms = value
+        self.state.wall_ms = value
 
     @property
-    def wall_ms_low_median(self) -> int:
+    def low_median_wall_ms(self) -> int:
         """Of the clocks that came with the votes by which this keeper became leader, its own among them."""
         return self.election.wall_ms
 
     # --- what happens ---
 
-    def hear(self, now: float, source: str, message: Body) -> None:
-        core = self.core
-        core.at(now)
-        if core.mute:
-            return core.refuse("mute")
-        if source == core.me:
-            return core.refuse("from myself")
+    def handle_message(self, now: float, source: str, message: Body) -> None:
+        state = self.state
+        state.at(now)
+        if state.is_uninitialized:
+            return state.refuse("mute")
+        if source == state.me:
+            return state.refuse("from myself")
         if not isinstance(
             message,
             RequestVote
@@ -112,9 +118,9 @@
             | InstallSnapshotReply
             | TimeoutNow,
         ):
-            return core.refuse("not among keepers")
-        if not 1 <= message.term <= core.term + MOST_JUMP:
-            return core.refuse("a term that can't be")
+            return state.refuse("not among keepers")
+        if not 1 <= message.term <= state.term + MAX_TERM_INCREASE:
+            return state.refuse("a term that can't be")
         if isinstance(message, RequestVote):
             self.election.asked(source, message)
         elif isinstance(message, RequestVoteReply):
@@ -130,130 +136,132 @@
         self._lead()
 
     def _answered(self, source: str, answer: AppendEntriesReply | InstallSnapshotReply) -> None:
-        core = self.core
-        if answer.term > core.term:
-            if source in core.seats:
-                core.rise(answer.term)
+        state = self.state
+        if answer.term > state.term:
+            if source in state.members:
+                state.rise(answer.term)
             else:
-                core.refuse("not a seat")
-        elif answer.term < core.term or self.leading is None:
-            core.refuse("late")
+                state.refuse("not a seat")
+        elif answer.term < state.term or self.replication is None:
+            state.refuse("late")
         else:
-            self.leading.answered(source, answer)
-
-    def passed(self, now: float) -> None:
-        core = self.core
-        core.at(now)
-        if self.leading:
-            self.leading.passed()
-        elif not core.mute and core.due is not None and core.now >= core.due:
+            self.replication.answered(source, answer)
+
+    def tick(self, now: float) -> None:
+        state = self.state
+        state.at(now)
+        if self.replication:
+            self.replication.tick()
+        elif not state.is_uninitialized and state.due is not None and state.now >= state.due:
             self.election.timed_out()
         self._lead()
 
     def _lead(self) -> None:
         """Being leader begins and ends with the role."""
-        if self.core.role != LEADS:
-            self.leading = None
-        elif self.leading is None:
-            self.leading = LeaderReplication(self.core)
+        if self.state.role != LEADS:
+            self.replication = None
+        elif self.replication is None:
+            self.replication = LeaderReplication(self.state)
 
-    def wake_ms(self) -> float:
+    def next_wakeup_ms(self) -> float:
         """When to call `passed` again, by the clock of `now`; what is past means at once."""
-        core = self.core
-        if core.due is None:
+        state = self.state
+        if state.due is None:
             return 0.0
         if self._waits():
-            return core.now
-        if self.leading:
-            return self.leading.beat_at
-        return math.inf if core.mute else core.due
+            return state.now
+        if self.replication:
+            return self.replication.beat_at
+        return math.inf if state.is_uninitialized else state.due
 
     def _waits(self) -> bool:
         """Whether `ready` has something to hand out."""
-        core = self.core
-        if core.saving:
+        state = self.state
+        if state.saving:
             return False
-        if self.leading and self.leading.confirmed:
+        if self.replication and self.replication.confirmed:
             return True
-        return bool(core.out or core.restore) or core.unsaved() or core.commit > core.applied
+        return bool(state.out or state.restore) or state.unsaved() or state.commit > state.applied
 
     # --- what is asked of it ---
 
     def propose(self, now: float, octets: bytes) -> int | None:
         """The place where it will stand if it stands at all. None: not leading, ending, full or too long."""
-        core = self.core
-        core.at(now)
-        if self.leading is None or self.leading.handing:
+        state = self.state
+        state.at(now)
+        if self.replication is None or self.replication.handing:
             return None
-        if core.log.last - core.commit >= core.timing.most_queued:
+        if state.log.last - state.commit >= state.timing.max_pending_proposals:
             return None
-        if not 1 <= len(octets) <= MAX_COMMAND_BYTES or octets.startswith(membership.HEAD):
-            core.refuse("a record that can't be")
+        if not 1 <= len(octets) <= MAX_COMMAND_BYTES or octets.startswith(membership.ENTRY_PREFIX):
+            state.refuse("a record that can't be")
             return None
-        return self.leading.add(octets)
+        return self.replication.add(octets)
 
-    def read(self, now: float) -> int:
+    def request_read(self, now: float) -> int:
         """A ticket, which `Ready.reads` names once this keeper is known to have led after now.
 
         0: not leading, or full. Tickets not named yet are void when it no longer leads.
         """
-        self.core.at(now)
-        if self.leading is None or len(self.leading.asked) >= self.core.timing.most_queued:
+        self.state.at(now)
+        if self.replication is None or len(self.replication.asked) >= self.state.timing.max_pending_proposals:
             return 0
         self.tickets += 1
-        self.leading.read(self.tickets)
+        self.replication.read(self.tickets)
         return self.tickets
 
-    def change(self, now: float, seats: tuple[str, ...], at_ms: int = 0) -> int | None:
+    def change_members(self, now: float, members: tuple[str, ...], at_ms: int = 0) -> int | None:
         """One name comes or goes. None: not leading, a change isn't committed yet, or it is not one name."""
-        core = self.core
-        core.at(now)
-        if self.leading is None or not self.leading.settled():
+        state = self.state
+        state.at(now)
+        if self.replication is None or not self.replication.settled():
             return None
-        if not membership.proper(seats) or not membership.one_apart(seats, core.seats):
-            core.refuse("seats that can't be")
+        if not membership.is_valid_membership(members) or not membership.differs_by_one_member(members, state.members):
+            state.refuse("seats that can't be")
             return None
-        place = self.leading.add(membership.record(seats, at_ms))
-        self.leading.seat(place)
+        place = self.replication.add(membership.encode_members(members, at_ms))
+        self.replication.seat(place)
         return place
 
-    def hand_over(self, now: float) -> bool:
+    def transfer_leadership(self, now: float) -> bool:
         """Ask the best follower to stand. Nothing is taken meanwhile, for an election time at most."""
-        self.core.at(now)
-        return self.leading is not None and (self.leading.handing is not None or self.leading.hand_over())
+        self.state.at(now)
+        return self.replication is not None and (
+            self.replication.handing is not None or self.replication.transfer_leadership()
+        )
 
-    def cut(self, index: int, octets: bytes) -> None:
+    def compact_log(self, index: int, octets: bytes) -> None:
         """The machine's snapshot of all up to `index`: the log before it may go."""
-        core = self.core
-        term = core.log.term_at(index)
-        if term is None or not core.snapshot.index < index <= core.applied:
-            return core.refuse("a cut out of place")
-        core.cut(Snapshot(index, term, core.members.at(index), octets))
-        if self.leading:
-            self.leading.cut()
+        state = self.state
+        term = state.log.term_at(index)
+        if term is None or not state.snapshot.index < index <= state.applied:
+            return state.refuse("a cut out of place")
+        state.cut(Snapshot(index, term, state.membership.at(index), octets))
+        if self.replication:
+            self.replication.cut()
 
     # --- what comes of it ---
 
     def ready(self) -> Ready:
         """Empty while a save that was handed out isn't confirmed by `saved`."""
         ready = Ready()
-        if self.core.saving:
+        if self.state.saving:
             return ready
-        if self.leading:
-            self.leading.flush()
+        if self.replication:
+            self.replication.flush()
             self._lead()
-        if self.leading:
-            ready.reads, self.leading.confirmed = self.leading.confirmed, []
-        self.core.fill(ready)
+        if self.replication:
+            ready.reads, self.replication.confirmed = self.replication.confirmed, []
+        self.state.fill(ready)
         return ready
 
-    def saved(self, now: float) -> None:
+    def on_saved(self, now: float) -> None:
         """The last `Ready.save` is on disk. It may commit more: ask `ready` again, after the rest of this."""
-        core = self.core
-        core.at(now)
-        if core.saving:
-            core.saving = False
-            core.log.confirmed()
-            if self.leading:
-                self.leading.settle()
+        state = self.state
+        state.at(now)
+        if state.saving:
+            state.saving = False
+            state.log.confirmed()
+            if self.replication:
+                self.replication.settle()
                 self._lead()
--- a/brookreach/coordination/raft/node_state.py
+++ b/brookreach/coordination/raft/node_state.py
@@ -11,14 +11,14 @@
 from collections import Counter
 from collections.abc import Iterable
 
-from brookreach.coordination.ports import PendingSave, Ready, StoredState, Timing
 from brookreach.coordination.protocol.messages import Body, Entry, RequestVote
-from brookreach.coordination.raft.log import Log
-from brookreach.coordination.raft.membership import Members
-from brookreach.coordination.raft.snapshot_transfer import Snapshot
+from brookreach.coordination.raft.log import RaftLog
+from brookreach.coordination.raft.membership import MembershipHistory
+from brookreach.coordination.raft.types import PendingSave, Ready, Snapshot, StoredState
+from brookreach.coordination.timing import Timing
 
 FOLLOWS, TRIES, STANDS, LEADS = "follows", "tries", "stands", "leads"
-MOST_JUMP = 1 << 32  # terms a message may be ahead: one changed word must not use the terms up
+MAX_TERM_INCREASE = 1 << 32  # terms a message may be ahead: one changed word must not use the terms up
 
 
 class NodeState:
@@ -26,14 +26,15 @@
 
     def __init__(self, me: str, kept: StoredState, timing: Timing, chance: random.Random):
         self.me, self.timing, self.chance = me, timing, chance
-        self.term, self.vote = kept.term, kept.vote
-        self.log = Log(kept.index, kept.index_term, kept.entries)
-        self.members = Members(kept.seats, kept.index, kept.entries)
-        self.snapshot = Snapshot(kept.index, kept.index_term, kept.seats, kept.snapshot)
-        self.commit = self.applied = kept.index
-        self.restore = (kept.index, kept.snapshot) if kept.index else None
+        self.term, self.voted_for = kept.term, kept.voted_for
+        start = kept.snapshot
+        self.log = RaftLog(start.index, start.term, kept.entries)
+        self.membership = MembershipHistory(start.members, start.index, kept.entries)
+        self.snapshot = start
+        self.commit = self.applied = start.index
+        self.restore = start if start.index else None
         # An empty disk may be that of a keeper that has promised; it says and takes nothing.
-        self.mute = not kept.seats
+        self.is_uninitialized = not start.members
         self.role, self.leader = FOLLOWS, ""
         self.heard_at = -math.inf  # when the leader last spoke
         self.due: float | None = None  # when to stand, unless a leader speaks
@@ -41,7 +42,7 @@
         self.promised = self.cut_made = False  # term or vote, a snapshot: to be saved
         self.saving = False
         self.out: list[tuple[str, Body]] = []
-        self.refusals: Counter[str] = Counter()
+        self.rejections: Counter[str] = Counter()
 
     # --- time ---
 
@@ -52,13 +53,13 @@
 
     def rest(self) -> None:
         """Wait anew for a leader, each time as long as chance has it, so that few stand at once."""
-        election = self.timing.election_ms
+        election = self.timing.election_timeout_ms
         self.due = self.now + election * (1 + self.chance.random())
 
     def hears_leader(self) -> bool:
         if self.role == LEADS:
             return True  # it steps down by itself when a majority is silent
-        return self.leader != "" and self.now - self.heard_at < self.timing.election_ms
+        return self.leader != "" and self.now - self.heard_at < self.timing.election_timeout_ms
 
     # --- saying ---
 
@@ -67,24 +68,24 @@
 
     def refuse(self, name: str) -> None:
         """A message without effect; counted by name."""
-        self.refusals[name] += 1
+        self.rejections[name] += 1
 
     # --- seats ---
 
     @property
-    def seats(self) -> tuple[str, ...]:
-        return self.members.now
+    def members(self) -> tuple[str, ...]:
+        return self.membership.now
 
     def others(self) -> list[str]:
-        return [one for one in self.seats if one != self.me]
+        return [one for one in self.members if one != self.me]
 
     def majority(self, names: Iterable[str]) -> bool:
-        return 2 * len(set(names) & set(self.seats)) > len(self.seats)
+        return 2 * len(set(names) & set(self.members)) > len(self.members)
 
     # --- terms ---
 
     def rise(self, term: int) -> None:
-        self.term, self.vote, self.promised = term, "", True
+        self.term, self.voted_for, self.promised = term, "", True
         self.step_down()
 
     def step_down(self) -> None:
@@ -92,7 +93,7 @@
         self.rest()
 
     def vote_for(self, name: str) -> None:
-        self.vote, self.promised = name, True
+        self.voted_for, self.promised = name, True
 
     def behind(self, ask: RequestVote) -> bool:
         """Whether the asker's log ends before mine: then it may lack what is committed."""
@@ -102,16 +103,16 @@
 
     def add(self, entries: list[Entry]) -> None:
         self.log.add(entries)
-        self.members.take(entries)
+        self.membership.take(entries)
 
     def back_to(self, place: int) -> None:
         self.log.back_to(place)
-        self.members.back_to(place)
+        self.membership.back_to(place)
 
     def cut(self, snapshot: Snapshot) -> None:
         """Mine, of what was applied here."""
         self.log.cut(snapshot.index)
-        self.members.begin_at(snapshot.index, snapshot.seats, keep=True)
+        self.membership.begin_at(snapshot.index, snapshot.members, keep=True)
         self.snapshot, self.cut_made = snapshot, True
 
     def install(self, snapshot: Snapshot) -> None:
@@ -121,10 +122,10 @@
             self.log.cut(snapshot.index)
         else:
             self.log.begin_at(snapshot.index, snapshot.term)
-        self.members.begin_at(snapshot.index, snapshot.seats, keep)
+        self.membership.begin_at(snapshot.index, snapshot.members, keep)
         self.snapshot, self.cut_made = snapshot, True
         self.commit = self.applied = snapshot.index
-        self.restore = snapshot.index, snapshot.octets
+        self.restore = snapshot
 
     # --- what comes of it ---
 
@@ -138,9 +139,7 @@
         made = self.snapshot if self.cut_made else None
         self.promised = self.cut_made = False
         self.saving = True
-        return PendingSave(
-            self.term, self.vote, after, entries, (made.index, made.term, made.seats, made.octets) if made else None
-        )
+        return PendingSave(self.term, self.voted_for, after, entries, made)
 
     def fill(self, ready: Ready) -> None:
         ready.save = self.to_save()
--- a/brookreach/coordination/raft/progress.py
+++ b/brookreach/coordination/raft/progress.py
@@ -9,14 +9,14 @@
 from dataclasses import dataclass, field
 
 from brookreach.coordination.protocol.messages import AppendEntriesReply, InstallSnapshotReply
-from brookreach.coordination.raft.snapshot_transfer import Sending
+from brookreach.coordination.raft.snapshot_transfer import SnapshotSender
 
-WINDOW = 8  # Appends with entries under way to one follower
-PATIENCE = 2  # beats without an answer, until entries or a part are sent again
+MAX_IN_FLIGHT_APPENDS = 8  # Appends with entries under way to one follower
+RETRANSMIT_HEARTBEATS = 2  # beats without an answer, until entries or a part are sent again
 
 
 @dataclass(slots=True)
-class Peer:
+class FollowerProgress:
     """`probing`: the place where both logs part is looked for, one question at a time."""
 
     next: int  # the first entry not sent yet
@@ -29,10 +29,10 @@
     probing: bool = True
     waiting: bool = False  # a probe is out
     flight: deque[tuple[int, float]] = field(default_factory=deque)  # last place, when
-    sending: Sending | None = None
+    sending: SnapshotSender | None = None
 
     def room(self) -> bool:
-        return not self.probing and self.sending is None and len(self.flight) < WINDOW
+        return not self.probing and self.sending is None and len(self.flight) < MAX_IN_FLIGHT_APPENDS
 
     def probe(self, next: int) -> None:
         self.next, self.probing, self.waiting = next, True, False
--- a/brookreach/coordination/raft/replication.py
+++ b/brookreach/coordination/raft/replication.py
@@ -19,14 +19,15 @@
     TimeoutNow,
 )
 from brookreach.coordination.raft.node_state import LEADS, NodeState
-from brookreach.coordination.raft.progress import PATIENCE, Peer
-from brookreach.coordination.raft.snapshot_transfer import Sending
+from brookreach.coordination.raft.progress import RETRANSMIT_HEARTBEATS, FollowerProgress
+from brookreach.coordination.raft.snapshot_transfer import SnapshotSender
+from brookreach.coordination.raft.types import ConfirmedRead
 
 Figure = TypeVar("Figure", int, float)
 
 
 @dataclass(slots=True)
-class Asked:
+class PendingRead:
     """A read: `need` is the first round begun after it was asked."""
 
     ticket: int
@@ -35,82 +36,82 @@
 
 
 @dataclass(slots=True)
-class Handing:
+class LeadershipTransfer:
     target: str
     until: float
     said: bool = False
 
 
 class LeaderReplication:
-    def __init__(self, core: NodeState):
-        self.core = core
+    def __init__(self, state: NodeState):
+        self.state = state
         self.round = self.read_round = 0
-        self.peers: dict[str, Peer] = {}
-        self.asked: deque[Asked] = deque()
-        self.confirmed: list[tuple[int, int]] = []
-        self.handing: Handing | None = None
-        self.first = core.log.last + 1
+        self.peers: dict[str, FollowerProgress] = {}
+        self.asked: deque[PendingRead] = deque()
+        self.confirmed: list[ConfirmedRead] = []
+        self.handing: LeadershipTransfer | None = None
+        self.first = state.log.last + 1
         self.seat(self.first)
-        core.add([Entry(self.first, core.term, b"")])  # commits what earlier terms left
-        self.beat_at = core.now + core.timing.beat_ms
+        state.add([Entry(self.first, state.term, b"")])  # commits what earlier terms left
+        self.beat_at = state.now + state.timing.heartbeat_ms
 
     def seat(self, next: int) -> None:
         """Followers for new seats. One that lost its seat is still told so, until that is committed."""
-        for name in self.core.others():
-            self.peers.setdefault(name, Peer(next, self.core.now))
+        for name in self.state.others():
+            self.peers.setdefault(name, FollowerProgress(next, self.state.now))
 
-    def majority_of(self, mine: Figure, of: Callable[[Peer], Figure]) -> Figure:
+    def majority_of(self, mine: Figure, of: Callable[[FollowerProgress], Figure]) -> Figure:
         """What a majority of the seats has reached."""
-        core = self.core
-        values = [mine if one == core.me else of(self.peers[one]) for one in core.seats]
+        state = self.state
+        values = [mine if one == state.me else of(self.peers[one]) for one in state.members]
         return sorted(values, reverse=True)[len(values) // 2]
 
     # --- what was asked of this keeper ---
 
     def settled(self) -> bool:
         """Whether a change of seats may be made: the last is committed, and so is an entry of this term."""
-        core = self.core
-        return core.commit >= max(self.first, core.members.changed_at) and self.handing is None
+        state = self.state
+        return state.commit >= max(self.first, state.membership.changed_at) and self.handing is None
 
     def add(self, octets: bytes) -> int:
-        core = self.core
-        place = core.log.last + 1
-        core.add([Entry(place, core.term, octets)])
+        state = self.state
+        place = state.log.last + 1
+        state.add([Entry(place, state.term, octets)])
         return place
 
     def read(self, ticket: int) -> None:
-        self.asked.append(Asked(ticket, self.round + 1, max(self.core.commit, self.first)))
+        self.asked.append(PendingRead(ticket, self.round + 1, max(self.state.commit, self.first)))
 
-    def hand_over(self) -> bool:
-        core = self.core
-        near = [one for one in core.others() if core.now - self.peers[one].heard < core.timing.election_ms]
+    def transfer_leadership(self) -> bool:
+        state = self.state
+        near = [one for one in state.others() if state.now - self.peers[one].heard < state.timing.election_timeout_ms]
         if not near:
             return False
         best = max(near, key=lambda one: self.peers[one].match)  # the first of equals
-        self.handing = Handing(best, core.now + core.timing.election_ms)
+        self.handing = LeadershipTransfer(best, state.now + state.timing.election_timeout_ms)
         self.hand()
         return True
 
     def hand(self) -> None:
         """Only who has all may stand: then nothing proposed here is lost, and it wins."""
-        core, handing = self.core, self.handing
-        if handing and not handing.said and self.peers[handing.target].match == core.log.last:
+        state, handing = self.state, self.handing
+        if handing and not handing.said and self.peers[handing.target].match == state.log.last:
             handing.said = True
-            core.say(handing.target, TimeoutNow(core.term))
+            state.say(handing.target, TimeoutNow(state.term))
 
     # --- out ---
 
-    def passed(self) -> None:
-        core = self.core
-        if core.now - self.majority_of(core.now, lambda peer: peer.heard) > core.timing.election_ms:
-            return core.step_down()  # others may lead by now
-        if self.handing and core.now >= self.handing.until:
+    def tick(self) -> None:
+        state = self.state
+        if state.now - self.majority_of(state.now, lambda peer: peer.heard) > state.timing.election_timeout_ms:
+            return state.step_down()  # others may lead by now
+        if self.handing and state.now >= self.handing.until:
             self.handing = None
-        if core.now < self.beat_at:
+        if state.now < self.beat_at:
             return
-        self.beat_at = core.now + core.timing.beat_ms
+        self.beat_at = state.now + state.timing.heartbeat_ms
         for peer in self.peers.values():
-            peer.late(core.now, PATIENCE * core.timing.beat_ms)
+            peer.late(state.now, RETRANSMIT_HEARTBEATS * state.timing.heartbeat_ms)
         self._begin_round()
         if self.handing:
             self.handing.said = False
@@ -129,11 +130,11 @@
         self.round += 1
         for name, peer in self.peers.items():
             if peer.sending:
-                self._append(name, peer, self.core.log.last, ())
+                self._append(name, peer, self.state.log.last, ())
             else:
                 self._send(name, peer, peer.room() or (peer.probing and not peer.waiting))
 
-    def _stream(self, name: str, peer: Peer) -> None:
+    def _stream(self, name: str, peer: FollowerProgress) -> None:
         if peer.sending:
             if not peer.sending.waiting:
                 self._send_part(name, peer)
@@ -141,13 +142,13 @@
             if not peer.waiting:
                 self._send(name, peer, True)
         else:
-            while peer.next <= self.core.log.last and peer.room():
+            while peer.next <= self.state.log.last and peer.room():
                 self._send(name, peer, True)
 
-    def _send(self, name: str, peer: Peer, with_entries: bool) -> None:
-        log, prev = self.core.log, peer.next - 1
+    def _send(self, name: str, peer: FollowerProgress, with_entries: bool) -> None:
+        log, prev = self.state.log, peer.next - 1
         if prev < log.base:
-            peer.sending = Sending(self.core.snapshot)
+            peer.sending = SnapshotSender(self.state.snapshot)
             peer.flight.clear()
             return self._send_part(name, peer)
         entries = log.since(prev) if with_entries else ()
@@ -156,45 +157,47 @@
             peer.waiting = True
         elif entries:
             peer.next = entries[-1].index + 1
-            peer.flight.append((entries[-1].index, self.core.now))
+            peer.flight.append((entries[-1].index, self.state.now))
 
-    def _append(self, name: str, peer: Peer, prev: int, entries: tuple[Entry, ...]) -> None:
-        core = self.core
+    def _append(self, name: str, peer: FollowerProgress, prev: int, entries: tuple[Entry, ...]) -> None:
+        state = self.state
         peer.round = self.round
         peer.sent = max(peer.sent, prev + len(entries))
-        core.say(name, AppendEntries(core.term, prev, core.log.term_at(prev) or 0, core.commit, self.round, entries))
+        state.say(
+            name, AppendEntries(state.term, prev, state.log.term_at(prev) or 0, state.commit, self.round, entries)
+        )
 
-    def _send_part(self, name: str, peer: Peer) -> None:
+    def _send_part(self, name: str, peer: FollowerProgress) -> None:
         if peer.sending:
             peer.round, peer.sent = self.round, max(peer.sent, peer.sending.index)
-            self.core.say(name, peer.sending.part(self.core.now, self.core.term, self.round))
+            self.state.say(name, peer.sending.part(self.state.now, self.state.term, self.round))
 
     def cut(self) -> None:
         """A newer snapshot: transfers of the one before begin anew with it; what followed is gone."""
         for peer in self.peers.values():
             if peer.sending:
-                peer.sending = Sending(self.core.snapshot)
+                peer.sending = SnapshotSender(self.state.snapshot)
 
     # --- answers ---
 
     def answered(self, source: str, answer: AppendEntriesReply | InstallSnapshotReply) -> None:
-        core, peer = self.core, self.peers.get(source)
+        state, peer = self.state, self.peers.get(source)
         if peer is None:
-            return core.refuse("not a seat")
+            return state.refuse("not a seat")
         if answer.round > peer.round:
-            return core.refuse("a round never sent")
+            return state.refuse("a round never sent")
         wrong: str | None = None
         if isinstance(answer, InstallSnapshotReply):
             wrong = peer.got(answer)
         elif not answer.ok:
             wrong = peer.parted(answer)
         elif answer.index > peer.sent:
-            return core.refuse("more than was sent")
+            return state.refuse("more than was sent")
         else:
-            peer.took(answer, core.log.base)
+            peer.took(answer, state.log.base)
         if wrong:
-            core.refuse(wrong)
-        peer.spoke(core.now, answer.round)
+            state.refuse(wrong)
+        peer.spoke(state.now, answer.round)
         self.settle()
 
     def _confirmed_round(self) -> int:
@@ -202,28 +205,28 @@
 
     def settle(self) -> None:
         """What answers, or the own disk, have brought."""
-        core = self.core
-        place = self.majority_of(core.log.saved, lambda peer: peer.match)
-        if place > core.commit and core.log.term_at(place) == core.term:
-            core.commit = place
+        state = self.state
+        place = self.majority_of(state.log.saved, lambda peer: peer.match)
+        if place > state.commit and state.log.term_at(place) == state.term:
+            state.commit = place
             self._seats_settled()
-        if core.role != LEADS:
+        if state.role != LEADS:
             return
         self.hand()
-        if core.commit >= self.first:
+        if state.commit >= self.first:
             confirmed = self._confirmed_round()
             while self.asked and self.asked[0].need <= confirmed:
                 read = self.asked.popleft()
-                self.confirmed.append((read.ticket, read.place))
+                self.confirmed.append(ConfirmedRead(read.ticket, read.place))
 
     def _seats_settled(self) -> None:
-        core = self.core
-        if core.commit < core.members.changed_at:
+        state = self.state
+        if state.commit < state.membership.changed_at:
             return
-        for name in [one for one in self.peers if one not in core.seats]:
+        for name in [one for one in self.peers if one not in state.members]:
             self._send(name, self.peers.pop(name), True)  # so that it hears that it may go
-        if core.me not in core.seats:
+        if state.me not in state.members:
             self._begin_round()
-            best = max(core.seats, key=lambda one: self.peers[one].match)
-            core.say(best, TimeoutNow(core.term))
-            core.step_down()
+            best = max(state.members, key=lambda one: self.peers[one].match)
+            state.say(best, TimeoutNow(state.term))
+            state.step_down()
--- a/brookreach/coordination/raft/snapshot_transfer.py
+++ b/brookreach/coordination/raft/snapshot_transfer.py
@@ -7,34 +7,24 @@
 from __future__ import annotations
 
 import hashlib
-from dataclasses import dataclass
 
 import msgspec
 
 from brookreach.coordination.protocol.messages import MAX_SNAPSHOT_CHUNK_BYTES, Count, InstallSnapshot
 from brookreach.coordination.raft import membership
+from brookreach.coordination.raft.types import Snapshot
 
-MOST_SNAPSHOT = 1 << 28  # bytes of one that a follower collects
+MAX_SNAPSHOT_BYTES = 1 << 28  # bytes of one that a follower collects
 
 
-class Torn(ValueError):
+class SnapshotTransferError(ValueError):
     """What was collected is no snapshot; its text names why."""
 
 
-@dataclass(frozen=True, slots=True)
-class Snapshot:
-    """The state after all up to `index`, of `term`, and who had the seats there."""
-
-    index: int
-    term: int
-    seats: tuple[str, ...]
-    octets: bytes
-
-
 class _Packed(msgspec.Struct, frozen=True, forbid_unknown_fields=True, array_like=True):
     index: Count
     term: Count
-    seats: membership.Seats
+    members: membership.Seats
     octets: bytes
 
 
@@ -43,24 +33,24 @@
 
 
 def pack(snapshot: Snapshot) -> bytes:
-    rest = msgspec.msgpack.encode(_Packed(snapshot.index, snapshot.term, snapshot.seats, snapshot.octets))
+    rest = msgspec.msgpack.encode(_Packed(snapshot.index, snapshot.term, snapshot.members, snapshot.data))
     return hashlib.sha256(rest).digest() + rest
 
 
 def unpack(octets: bytes, index: int, term: int) -> Snapshot:
     """What `pack` made of the snapshot of this place and term; raises Torn."""
     if hashlib.sha256(octets[_SUM:]).digest() != octets[:_SUM]:
-        raise Torn("a snapshot whose parts don't fit")
+        raise SnapshotTransferError("a snapshot whose parts don't fit")
     try:
         packed = _packed.decode(octets[_SUM:])
     except msgspec.DecodeError:
-        raise Torn("a snapshot that can't be read") from None
-    if (packed.index, packed.term) != (index, term) or not membership.proper(packed.seats):
-        raise Torn("a snapshot of another place")
-    return Snapshot(packed.index, packed.term, packed.seats, packed.octets)
+        raise SnapshotTransferError("a snapshot that can't be read") from None
+    if (packed.index, packed.term) != (index, term) or not membership.is_valid_membership(packed.members):
+        raise SnapshotTransferError("a snapshot of another place")
+    return Snapshot(packed.index, packed.term, packed.members, packed.octets)
 
 
-class Sending:
+class SnapshotSender:
     """The leader's end. One part is out at a time; the follower says from where it wants the next."""
 
     def __init__(self, snapshot: Snapshot):
@@ -84,7 +74,7 @@
         return True
 
 
-class Taking:
+class SnapshotReceiver:
     """The follower's end: one transfer at a time, of the leader that is followed. Another one replaces it."""
 
     def __init__(self) -> None:
@@ -103,9 +93,9 @@
             return len(self.held), None  # one before it was lost
         del self.held[part.offset :]  # said again; what is held after it is asked for again
         self.held += part.octets
-        if len(self.held) > MOST_SNAPSHOT:
+        if len(self.held) > MAX_SNAPSHOT_BYTES:
             self.drop()
-            raise Torn("a snapshot that is too long")
+            raise SnapshotTransferError("a snapshot that is too long")
         if not part.last:
             return len(self.held), None
         octets = bytes(self.held)
--- a/brookreach/coordination/server/change_feed.py
+++ b/brookreach/coordination/server/change_feed.py
@@ -24,7 +24,7 @@
 Names = tuple[str, ...]
 
 
-def marked(names: Collection[str], total: int) -> Rows:
+def digest_markers(names: Collection[str], total: int) -> Rows:
     octets = (total % (1 << 8 * SUM)).to_bytes(SUM, "big")
     return tuple(messages.RowChange(one, "", None if nth else octets) for nth, one in enumerate(names))
 
@@ -132,7 +132,7 @@
         copy = self._copies.get(names)
         if copy is None or copy.index < least or self.changes(names, copy.index) is None:
             parts: list[tuple[Rows, int]] = []
-            part, octets = list(marked(names, sum(self._sums[one] for one in names))), 0
+            part, octets = list(digest_markers(names, sum(self._sums[one] for one in names))), 0
             for name in names:
                 for one in self._machine.view.changes(name):
                     size = weight(one)
--- a/brookreach/coordination/server/leader.py
+++ b/brookreach/coordination/server/leader.py
@@ -13,26 +13,27 @@
 from collections.abc import Sequence
 from functools import partial
 
-from brookreach.coordination.ports import AppliedCommand, Timing
+from brookreach.coordination.ports import AppliedCommand
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.raft.node import RaftNode
-from brookreach.coordination.server.leader_term import Term
+from brookreach.coordination.server.leader_term import LeaderTerm
 from brookreach.coordination.server.proposals import (
     InFlightProposal,
     InFlightProposals,
+    InvalidRequestError,
     Say,
-    Wrong,
-    moved,
-    rows_of,
-    sorry,
+    members_after,
+    read_rows,
+    reject,
 )
 from brookreach.coordination.server.watches import Watches
 from brookreach.coordination.state_machine import sessions
 from brookreach.coordination.state_machine.machine import StateMachine
 from brookreach.coordination.state_machine.sessions import ANSWERS, SEATS, SESSIONS
+from brookreach.coordination.timing import Timing
 
 
-class Leader(Term):
+class Leader(LeaderTerm):
     """`keepers` are those that the file names: a seat is for one of them."""
 
     def __init__(
@@ -47,7 +48,7 @@
     ):
         super().__init__(now, raft, machine, timing)
         self.watches = watches
-        self.keepers, self.say, self.sorry = keepers, say, partial(sorry, say)
+        self.keepers, self.say, self.reject = keepers, say, partial(reject, say)
         self.here: dict[str, int] = {}  # sessions by clients that joined on their present connection
         self.flights = InFlightProposals()
         self.asked: list[tuple[str, messages.Body]] = []  # until the next round
@@ -55,20 +56,20 @@
 
     # --- what is heard ---
 
-    def hear(self, now: float, source: str, body: messages.Body) -> None:
+    def handle_message(self, now: float, source: str, body: messages.Body) -> None:
         match body:
             case messages.OpenSession(session=0) | messages.CloseSession() if self.open:
                 self._sure(now, source, body)
             case messages.ProposeRequest() if self.open and self._is_next(source, body):
                 self._sure(now, source, body)
-            case _ if len(self.asked) >= self.timing.most_queued:
+            case _ if len(self.asked) >= self.timing.max_pending_proposals:
                 self._busy(source, body)
             case _:
                 self.asked.append((source, body))
 
     def begin_round(self, now: float) -> None:
         """One at a time, for all that was heard before it."""
-        if self.asked and not self.round and (ticket := self.raft.read(now)):
+        if self.asked and not self.round and (ticket := self.raft.request_read(now)):
             self.round, self.in_round, self.asked = ticket, self.asked, []
 
     def confirmed(self, now: float, ticket: int) -> None:
@@ -90,7 +91,7 @@
                 ended = sessions.SessionEnded(session, "left")
                 if self.machine.holder(session) == source and self._propose(now, ended):
                     self.leases.gone(session)  # it lives no more
-                    self.gone(source)
+                    self.client_disconnected(source)
             case messages.KeepAlive(session=session) | messages.WatchRequest(session=session):
                 if not self._lives(now, source, session):
                     self._no_session(source, body, session)
@@ -98,11 +99,11 @@
                     self.leases.renewed(now, session)
                     self.say(source, messages.KeepAliveReply(body.seq, int(self.timing.lease_ms), self.clock.at(now)))
                 elif wrong := self.watches.watch(source, body.tables, body.since):
-                    self.sorry(source, body, "refused", wrong)
+                    self.reject(source, body, "refused", wrong)
                 else:
                     self.here[source] = session
 
-    def gone(self, source: str) -> None:
+    def client_disconnected(self, source: str) -> None:
         """Its connection ended. Its session goes on, as long as its lease."""
         self.here.pop(source, None)
         self.watches.gone(source)
@@ -114,23 +115,25 @@
             [*self.here, *self.flights.sources(), *(source for source, _ in self.in_round + self.asked)]
         ):
             self.watches.gone(source)
-            self.say(source, messages.RequestRejected(0, "not leader", "no longer", leader, int(self.timing.beat_ms)))
+            self.say(
+                source, messages.RequestRejected(0, "not leader", "no longer", leader, int(self.timing.heartbeat_ms))
+            )
 
     def _no_session(self, source: str, body: messages.Body, session: int) -> None:
-        self.sorry(source, body, "no session", f"session {session} is none of {source}")
+        self.reject(source, body, "no session", f"session {session} is none of {source}")
 
     def _busy(self, source: str, body: messages.Body) -> None:
         text = f"{len(self.flights)} records and {len(self.asked)} questions wait"
-        self.sorry(source, body, "busy", text, "", 4 * self.timing.beat_ms)
+        self.reject(source, body, "busy", text, "", 4 * self.timing.heartbeat_ms)
 
     # --- sessions ---
 
     def _join(self, now: float, source: str, join: messages.OpenSession) -> None:
         held, row = self.machine.session(source), self.machine.view.get(SESSIONS, source)
         if join.client != source:
-            self.sorry(source, join, "refused", f"{source} may not join as {join.client}")
+            self.reject(source, join, "refused", f"{source} may not join as {join.client}")
         elif join.version > sessions.VERSION:
-            self.sorry(source, join, "too new", f"version {join.version}; {sessions.VERSION} is known here")
+            self.reject(source, join, "too new", f"version {join.version}; {sessions.VERSION} is known here")
         elif join.session:
             if row is not None and row.kind == join.kind and self._lives(now, source, join.session):
                 self.leases.renewed(now, held)
@@ -142,7 +145,7 @@
         elif held and not self.leases.over(now, held):
             if self.here.get(source) != held:  # else said twice; another process of that name may act yet
                 left_ms = self.leases.left_ms(now, held)
-                self.sorry(source, join, "busy", f"{source} has session {held} yet", "", left_ms + 1.0)
+                self.reject(source, join, "busy", f"{source} has session {held} yet", "", left_ms + 1.0)
         else:
             place = self._propose(now, sessions.SessionStarted(source, join.kind))
             self._fly(source, join, place, InFlightProposal(source, held, 0))
@@ -176,9 +179,9 @@
         elif ask.seq == last.seq and last.mark == sessions.mark(ask.piece, ask.version, ask.body):
             self.say(source, messages.ProposeReply(ask.seq, last.index, last.ok, last.text))
         elif not self._is_next(source, ask):
-            self.sorry(source, ask, "out of order", f"question {ask.seq} after {last.seq}")
+            self.reject(source, ask, "out of order", f"question {ask.seq} after {last.seq}")
         elif misfit := self.machine.misfit(ask.piece, ask.version, ask.body):
-            self.sorry(source, ask, *misfit)
+            self.reject(source, ask, *misfit)
         else:
             kind = self.machine.view.get(SESSIONS, source).kind
             octets = sessions.asked(ask, self.clock.at(now), source, kind)
@@ -195,21 +198,21 @@
         is so already is answered by a record that changes nothing."""
         try:
             if self.machine.view.get(SESSIONS, source).kind != "operator" or not ask.seq:
-                raise Wrong("operators may move seats")
-            seats = moved(self.raft.seats, self.keepers, ask.body)
-        except Wrong as error:
-            return self.sorry(source, ask, "refused", str(error))
-        so_already, at_ms = set(seats) == set(self.raft.seats), self.clock.at(now)
-        place = self._propose(now, sessions.TimePassed()) if so_already else self.raft.change(now, seats, at_ms)
+                raise InvalidRequestError("operators may move seats")
+            seats = members_after(self.raft.members, self.keepers, ask.body)
+        except InvalidRequestError as error:
+            return self.reject(source, ask, "refused", str(error))
+        so_already, at_ms = set(seats) == set(self.raft.members), self.clock.at(now)
+        place = self._propose(now, sessions.TimePassed()) if so_already else self.raft.change_members(now, seats, at_ms)
         self._fly(source, ask, place, InFlightProposal(source, ask.session, ask.seq))
 
     def _read(self, source: str, read: messages.ReadRequest) -> None:
         if self.machine.holder(self.here.get(source, 0)) != source:
             return self._no_session(source, read, 0)
         try:
-            parts = rows_of(self.machine.view, read)
-        except Wrong as error:
-            return self.sorry(source, read, "refused", str(error))
+            parts = read_rows(self.machine.view, read)
+        except InvalidRequestError as error:
+            return self.reject(source, read, "refused", str(error))
         for nth, part in enumerate(parts):
             self.say(source, messages.ReadReply(read.seq, self.machine.applied, nth + 1 == len(parts), part))
 
@@ -234,6 +237,8 @@
             elif waits:
                 self.say(one.source, messages.RequestRejected(0, done.why or "refused", done.text, "", int(lease_ms)))
         elif done.why:
-            self.say(one.source, messages.RequestRejected(one.seq, done.why, done.text, "", int(self.timing.beat_ms)))
+            self.say(
+                one.source, messages.RequestRejected(one.seq, done.why, done.text, "", int(self.timing.heartbeat_ms))
+            )
         else:
             self.say(one.source, messages.ProposeReply(one.seq, done.index, done.ok, done.text))
--- a/brookreach/coordination/server/leader_term.py
+++ b/brookreach/coordination/server/leader_term.py
@@ -5,20 +5,20 @@
 
 from __future__ import annotations
 
-from brookreach.coordination.ports import Timing
 from brookreach.coordination.raft.node import RaftNode
 from brookreach.coordination.server.agreed_clock import AgreedTime
 from brookreach.coordination.state_machine import sessions
 from brookreach.coordination.state_machine.machine import StateMachine
+from brookreach.coordination.timing import Timing
 
 
-class Term:
+class LeaderTerm:
     """One term; `open` once all entries of earlier terms are applied."""
 
     def __init__(self, now: float, raft: RaftNode, machine: StateMachine, timing: Timing) -> None:
         self.raft, self.machine, self.timing = raft, machine, timing
         self.term = raft.term
-        self.clock = AgreedTime(now, raft.wall_ms_low_median)
+        self.clock = AgreedTime(now, raft.low_median_wall_ms)
         self.open = False
         self.leases = sessions.LeaseBook(timing)
         self.passing = 0  # where a Passed stands that is not yet applied
@@ -29,7 +29,7 @@
         self.leases.adopt(now, self.machine.sessions())
         self.open = True
 
-    def passed(self, now: float) -> None:
+    def tick(self, now: float) -> None:
         if not self.open:
             return
         for session in self.leases.ended(now):
@@ -37,9 +37,9 @@
         due = self.machine.next_timer_ms()
         if due is not None and not self.passing and now >= self.again_at and due <= self.clock.at(now):
             self.passing = self._propose(now, sessions.TimePassed()) or 0
-            self.again_at = now if self.passing else now + self.timing.beat_ms
+            self.again_at = now if self.passing else now + self.timing.heartbeat_ms
 
-    def wake_ms(self) -> float | None:
+    def next_wakeup_ms(self) -> float | None:
         if not self.open:
             return None
         due = None if self.passing else self.machine.next_timer_ms()
--- a/brookreach/coordination/server/process.py
+++ b/brookreach/coordination/server/process.py
@@ -20,13 +20,14 @@
 
 from brookreach.coordination import configuration
 from brookreach.coordination.client.connection import now_ms
-from brookreach.coordination.ports import Ready, StorageError
+from brookreach.coordination.errors import StorageError
 from brookreach.coordination.protocol.stream import BOUNDS
+from brookreach.coordination.raft.types import Ready
 from brookreach.coordination.server.replica import Replica
 from brookreach.coordination.server.transport import Say, Transport, first
 from brookreach.coordination.state_machine.application import Application
 from brookreach.coordination.state_machine.snapshots import ReplicaHaltedError
-from brookreach.coordination.storage.store import Store
+from brookreach.coordination.storage.sqlite import SqliteStorage
 from brookreach.files import BadFile
 
 MOST_HEARD = 512  # messages of clients before what they bring is saved, as one
@@ -36,7 +37,7 @@
 BAD_FILE, ENDED_ITSELF = 2, 3  # exit codes
 
 
-def disk_of(path: Path, told: configuration.ClusterConfiguration, me: str) -> Store:
+def open_storage(path: Path, told: configuration.ClusterConfiguration, me: str) -> SqliteStorage:
     """Raises BadFile for a keeper that the file does not name, DiskError for what can't be opened."""
     part = next((one for one in told.keeper if one.name == me), None)
     if part is None:
@@ -46,19 +47,19 @@
         folder.mkdir(mode=0o700, parents=True, exist_ok=True)
     except OSError as error:
         raise StorageError(f"{folder}: {error.strerror}") from None
-    return Store(folder / DISK, told.group.name, me)
+    return SqliteStorage(folder / DISK, told.group.name, me)
 
 
-class Process:
+class ReplicaProcess:
     """Raises BadFile and DiskError where it can't begin."""
 
     def __init__(self, path: Path, me: str, pieces: Sequence[Application], say: Say):
         told = configuration.read(path)
         key = configuration.read_key(path, told)
         self.me, self.say = me, say
-        self.disk = disk_of(path, told, me)
+        self.disk = open_storage(path, told, me)
         kept = self.disk.load()
-        if not kept.seats:
+        if not kept.snapshot.members:
             raise StorageError(
                 f"{self.disk.path}: holds no keeper: brookreach fleet found (a new group) or "
                 "brookreach fleet join (a new keeper of a group), once"
@@ -76,7 +77,7 @@
                 await tasks.start(self.link.run)
                 self.say(
                     "keeper",
-                    f"{self.me} listens, {len(self.keeper.raft.seats)} seats, place {self.keeper.raft.committed}",
+                    f"{self.me} listens, {len(self.keeper.raft.members)} seats, place {self.keeper.raft.commit_index}",
                 )
                 tasks.start_soon(self._signals, tasks.cancel_scope)
                 tasks.start_soon(self._turns, tasks.cancel_scope)
@@ -90,13 +91,13 @@
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
             async for _ in signals:
                 break
-            leads = self.keeper.leads
+            leads = self.keeper.is_leader
             self.say("keeper", "hands its lead over and ends" if leads else "ends")
-            if self.keeper.end(now_ms()):
-                with anyio.move_on_after(2.0 * self.keeper.timing.election_ms / 1000.0):
-                    while self.keeper.leads:
+            if self.keeper.shut_down(now_ms()):
+                with anyio.move_on_after(2.0 * self.keeper.timing.election_timeout_ms / 1000.0):
+                    while self.keeper.is_leader:
                         self.link.inbox.came.set()
-                        await anyio.sleep(self.keeper.timing.beat_ms / 5000.0)
+                        await anyio.sleep(self.keeper.timing.heartbeat_ms / 5000.0)
             self.link.inbox.came.set()
             await anyio.sleep(0.02)  # what was said to clients is written
             scope.cancel()
@@ -105,7 +106,7 @@
         try:
             while True:
                 self._pump()
-                wait_s = min(MOST_WAIT_S, (self.keeper.wake_ms() - now_ms()) / 1000.0)
+                wait_s = min(MOST_WAIT_S, (self.keeper.next_wakeup_ms() - now_ms()) / 1000.0)
                 await self.link.inbox.wait(wait_s)
                 self._turn()
         except (StorageError, ReplicaHaltedError) as error:
@@ -117,17 +118,17 @@
         """Whatever came, as one save."""
         keeper, link, wall_ms = self.keeper, self.link, int(time.time() * 1000.0)
         while link.left:
-            keeper.gone(now_ms(), link.left.popleft())
+            keeper.client_disconnected(now_ms(), link.left.popleft())
         for source, body in link.inbox.take(MOST_HEARD):
-            keeper.hear(now_ms(), wall_ms, source, body)
-        keeper.passed(now_ms(), wall_ms)
+            keeper.handle_message(now_ms(), wall_ms, source, body)
+        keeper.tick(now_ms(), wall_ms)
         self._pump()
 
     def _pump(self) -> None:
         keeper = self.keeper
         for _ in range(MOST_ROUNDS):
             if keeper.watches.waits:
-                keeper.held = self.link.full()
+                keeper.slow_clients = self.link.full()
             ready = keeper.ready()
             if ready == Ready():
                 break
@@ -135,11 +136,11 @@
                 self.disk.save(ready.save)
             for target, body in ready.send:
                 self.link.send(target, body)
-            keeper.taken(now_ms(), ready)
-        stands = keeper.raft.leader, keeper.leads
+            keeper.advance(now_ms(), ready)
+        stands = keeper.raft.leader, keeper.is_leader
         if stands != self.stood:
             self.stood = stands
-            text = "leads" if keeper.leads else f"follows {stands[0]}" if stands[0] else "hears no leader"
+            text = "leads" if keeper.is_leader else f"follows {stands[0]}" if stands[0] else "hears no leader"
             self.say("keeper", f"{text}, term {keeper.raft.term}, place {keeper.machine.applied}")
 
 
@@ -152,10 +153,10 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (most, hard))
 
 
-def keep(path: Path, me: str, pieces: Sequence[Application], say: Say) -> int:
+def run_replica(path: Path, me: str, pieces: Sequence[Application], say: Say) -> int:
     """One keeper to its end; its exit code."""
     try:
-        process = Process(path, me, pieces, say)
+        process = ReplicaProcess(path, me, pieces, say)
     except BadFile as error:
         say("keeper", f"can't begin: {error}")
         return BAD_FILE
--- a/brookreach/coordination/server/proposals.py
+++ b/brookreach/coordination/server/proposals.py
@@ -31,7 +31,7 @@
 _moves = msgspec.msgpack.Decoder(ChangeMembership, strict=True)
 
 
-def sorry(
+def reject(
     say: Say,
     source: str,
     body: messages.Body,
@@ -45,7 +45,7 @@
         say(source, messages.RequestRejected(getattr(body, "seq", 0), why, text[:MOST_TEXT], leader, int(come_back_ms)))
 
 
-class Wrong(Exception):
+class InvalidRequestError(Exception):
     """A question that can't be answered as it is; its text is for who asked."""
 
 
@@ -109,11 +109,11 @@
         return len(self._numbers.get(session, ()))
 
 
-def rows_of(view: Tables, read: messages.ReadRequest) -> list[tuple[messages.RowChange, ...]]:
+def read_rows(view: Tables, read: messages.ReadRequest) -> list[tuple[messages.RowChange, ...]]:
     """What is read, in parts that a message carries, one at least; raises Wrong."""
     known = [name for name in view.types if name not in PRIVATE]
     if read.table not in known:
-        raise Wrong(f"no table {read.table!r}; there are {', '.join(known)}")
+        raise InvalidRequestError(f"no table {read.table!r}; there are {', '.join(known)}")
     parts: list[list[messages.RowChange]] = [[]]
     octets = 0
     for change in view.changes(read.table):
@@ -128,20 +128,20 @@
     return [tuple(part) for part in parts]
 
 
-def moved(seats: Sequence[str], keepers: Sequence[str], body: bytes) -> tuple[str, ...]:
+def members_after(seats: Sequence[str], keepers: Sequence[str], body: bytes) -> tuple[str, ...]:
     """The seats after an operator's move, the same where they are so already; raises Wrong."""
     try:
         move = _moves.decode(body)
     except (msgspec.DecodeError, RecursionError) as error:
-        raise Wrong(f"no move of seats: {error}") from None
+        raise InvalidRequestError(f"no move of seats: {error}") from None
     name = move.name
     if move.way == "remove":
         left = tuple(one for one in seats if one != name)
         if not left:
-            raise Wrong(f"{name} has the only seat")
+            raise InvalidRequestError(f"{name} has the only seat")
         return left
     if name not in keepers:
-        raise Wrong(f"{name} is no [[keeper]] in the leader's file; there are {', '.join(keepers)}")
+        raise InvalidRequestError(f"{name} is no [[keeper]] in the leader's file; there are {', '.join(keepers)}")
     if name not in seats and len(seats) == messages.MAX_MEMBERS:
-        raise Wrong(f"{len(seats)} seats; no more are allowed")
+        raise InvalidRequestError(f"{len(seats)} seats; no more are allowed")
     return tuple(seats) if name in seats else (*seats, name)
--- a/brookreach/coordination/server/watches.py
+++ b/brookreach/coordination/server/watches.py
@@ -12,13 +12,13 @@
 
 from brookreach.coordination.ports import AppliedCommand
 from brookreach.coordination.protocol import messages
-from brookreach.coordination.server.change_feed import MARKS, ChangeFeed, Copy, Found, Names, marked
+from brookreach.coordination.server.change_feed import MARKS, ChangeFeed, Copy, Found, Names, digest_markers
 from brookreach.coordination.state_machine import sessions
 from brookreach.coordination.state_machine.machine import StateMachine
 
-MOST_RING = 16 << 20  # bytes of changes held for all
-MOST_BYTES = messages.MAX_FRAME_BYTES // 2 - (16 << 10)  # of one message's rows
-MOST_BEHIND = 4096  # entries that change nothing for a client, before it's told how far the log is
+MAX_HISTORY_BYTES = 16 << 20  # bytes of changes held for all
+MAX_MESSAGE_BYTES = messages.MAX_FRAME_BYTES // 2 - (16 << 10)  # of one message's rows
+MAX_UNREPORTED_ENTRIES = 4096  # entries that change nothing for a client, before it's told how far the log is
 
 
 @dataclass(slots=True)
@@ -35,7 +35,7 @@
 
 
 class Watches:
-    def __init__(self, machine: StateMachine, most_ring: int = MOST_RING, most_bytes: int = MOST_BYTES):
+    def __init__(self, machine: StateMachine, most_ring: int = MAX_HISTORY_BYTES, most_bytes: int = MAX_MESSAGE_BYTES):
         self._machine, self._ring = machine, ChangeFeed(machine, most_ring, most_bytes)
         self._clients: dict[str, Watcher] = {}
         self._groups: dict[Names, dict[str, None]] = {}
@@ -58,9 +58,9 @@
         if index != self._ring.index + 1:
             raise ValueError(f"watches were told of place {self._ring.index}, then of {index}")
         moved = self._ring.took(applied.changes)
-        if index % MOST_BEHIND == 0:
+        if index % MAX_UNREPORTED_ENTRIES == 0:
             for client, watcher in self._clients.items():
-                if watcher.told <= index - MOST_BEHIND:
+                if watcher.told <= index - MAX_UNREPORTED_ENTRIES:
                     self._due(client, index - 1)
         if moved:
             for names, group in self._groups.items():
@@ -164,5 +164,5 @@
         watcher.fresh = False
         if since == found.upto and not fresh:
             return None, 0
-        marks = marked(watcher.names if fresh else watcher.names[:1], found.total)
+        marks = digest_markers(watcher.names if fresh else watcher.names[:1], found.total)
         return messages.WatchUpdate(since, found.upto, marks + found.rows), 64 + found.octets
--- a/brookreach/coordination/state_machine/sessions.py
+++ b/brookreach/coordination/state_machine/sessions.py
@@ -12,9 +12,10 @@
 
 import msgspec
 
-from brookreach.coordination.ports import LogRecord, Timing
+from brookreach.coordination.ports import LogRecord
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.state_machine.application import Command, Row
+from brookreach.coordination.timing import Timing
 
 APPLICATION, VERSION = "fleet", 1
 SEATS = "seats"  # records of the group's members: raft's, and nothing to the tables
--- a/brookreach/model/keepers.py
+++ b/brookreach/model/keepers.py
@@ -10,7 +10,7 @@
 
 import click
 
-from brookreach.coordination.ports import Timing
+from brookreach.coordination.timing import Timing
 from brookreach.model import keepers_load, keepers_sizes, keepers_store, keepers_times
 
 
--- a/brookreach/model/keepers_load.py
+++ b/brookreach/model/keepers_load.py
@@ -7,7 +7,7 @@
 
 import statistics
 
-from brookreach.coordination.ports import Timing
+from brookreach.coordination.timing import Timing
 from brookreach.disruption.commands import AskDrain
 from brookreach.model.keepers_crowd import Crowd, seen
 
--- a/brookreach/model/keepers_times.py
+++ b/brookreach/model/keepers_times.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from brookreach.coordination.ports import Timing
+from brookreach.coordination.timing import Timing
 from brookreach.model.raftnet import Net, Node
 
 NAMES = "abcde"
@@ -39,7 +39,7 @@
 
 
 def _handed_over(net: Net, old: Node) -> None:
-    old.raft.hand_over(net.now)
+    old.raft.transfer_leadership(net.now)
     net.drain(old)
 
 
@@ -67,7 +67,7 @@
     net.settle()
     for nth in range(5):
         net.propose(b"record %d" % nth)
-    net.run(500.0 + net.chance.random() * 2.0 * timing.beat_ms)
+    net.run(500.0 + net.chance.random() * 2.0 * timing.heartbeat_ms)
     old = net.settle()
     term, began = old.raft.term, net.now
     FAULTS[fault](net, old)
@@ -88,7 +88,9 @@
 
 def _led(net: Net, term: int) -> bool:
     return any(
-        one.raft.leading is not None and one.raft.term > term and one.raft.committed >= one.raft.leading.first
+        one.raft.replication is not None
+        and one.raft.term > term
+        and one.raft.commit_index >= one.raft.replication.first
         for one in net.up()
     )
 
@@ -106,15 +108,15 @@
 ) -> list[str]:
     """Lines of a table; beside `timing` the same with `election_ms` times `scale`."""
     slow = Timing(
-        timing.beat_ms,
-        timing.election_ms * scale,
+        timing.heartbeat_ms,
+        timing.election_timeout_ms * scale,
         timing.lease_ms,
         timing.drift,
-        timing.most_queued,
-        timing.cut_entries,
+        timing.max_pending_proposals,
+        timing.snapshot_interval_entries,
     )
-    head = f"election {timing.election_ms:.0f} ms"
-    beside = f"election {slow.election_ms:.0f} ms"
+    head = f"election {timing.election_timeout_ms:.0f} ms"
+    beside = f"election {slow.election_timeout_ms:.0f} ms"
     lines = [
         f"| leader | keepers | {head}: median ms | worst | elections | later | {beside}: median ms "
         "| worst | elections | later |",
--- a/brookreach/scale/control_cluster.py
+++ b/brookreach/scale/control_cluster.py
@@ -19,9 +19,9 @@
 from brookreach.coordination import configuration
 from brookreach.coordination.client.events import ReplyReceived
 from brookreach.coordination.client.one_shot import ClusterUnreachableError, OneShotClient
-from brookreach.coordination.ports import PendingSave
 from brookreach.coordination.protocol.messages import ClientKind
-from brookreach.coordination.server.process import disk_of
+from brookreach.coordination.raft.types import PendingSave, Snapshot
+from brookreach.coordination.server.process import open_storage
 from brookreach.coordination.state_machine.application import Command
 from brookreach.disruption.application import APPLICATION
 from brookreach.model.keepers_crowd import fleet
@@ -107,9 +107,9 @@
         octets = fleet(self.size.nodes).snapshot()
         for name in self.keepers:
             path = self.group.file(name, self.size.timing())
-            disk = disk_of(path, configuration.read(path), name)
-            disk.found(self.keepers)
-            disk.save(PendingSave(1, "", 0, [], (1, 1, self.keepers, octets)))
+            disk = open_storage(path, configuration.read(path), name)
+            disk.bootstrap(self.keepers)
+            disk.save(PendingSave(1, "", 0, [], Snapshot(1, 1, self.keepers, octets)))
             disk.close()
             words = ("fleet", "keep", str(path), "--keeper", name)
             self.children.add(Child(name, self.group.folder / name, words)).start()
--- a/brookreach/scale/control_counts.py
+++ b/brookreach/scale/control_counts.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from brookreach.coordination.ports import Timing
 from brookreach.coordination.protocol import messages
+from brookreach.coordination.timing import Timing
 from brookreach.disruption.tables import MARSHALS, NODES, Standing
 from brookreach.model.keepers_crowd import Crowd, seen
 from brookreach.scale.figures import Slope, fit
--- a/brookreach/simulation/coordination/defects.py
+++ b/brookreach/simulation/coordination/defects.py
@@ -7,17 +7,18 @@
 from dataclasses import replace
 from typing import Any
 
-from brookreach.coordination.ports import PendingSave, Timing
 from brookreach.coordination.protocol import frames, messages
 from brookreach.coordination.raft import node
 from brookreach.coordination.raft.node_state import NodeState
 from brookreach.coordination.raft.replication import LeaderReplication
+from brookreach.coordination.raft.types import ConfirmedRead, PendingSave
 from brookreach.coordination.server import replica
 from brookreach.coordination.server.leader import Leader
 from brookreach.coordination.state_machine import snapshots
 from brookreach.coordination.state_machine.machine import StateMachine
 from brookreach.coordination.state_machine.sessions import ANSWERS, SESSIONS, asked
 from brookreach.coordination.state_machine.tables import Tables
+from brookreach.coordination.timing import Timing
 from brookreach.simulation.defect import Plants
 from brookreach.simulation.engine import faults, participants
 
@@ -26,15 +27,15 @@
     """Reads are answered by whoever thinks that it leads."""
 
     def read(self, ticket: int) -> None:
-        self.confirmed.append((ticket, max(self.core.commit, self.first)))
+        self.confirmed.append(ConfirmedRead(ticket, max(self.state.commit, self.first)))
 
 
 class OlderTerms(LeaderReplication):
     """What a majority has of an earlier term counts as committed."""
 
     def settle(self) -> None:
-        place = self.majority_of(self.core.log.saved, lambda peer: peer.match)
-        self.core.commit = max(self.core.commit, place)
+        place = self.majority_of(self.state.log.saved, lambda peer: peer.match)
+        self.state.commit = max(self.state.commit, place)
         super().settle()
 
 
@@ -43,7 +44,7 @@
 
     def to_save(self) -> PendingSave | None:
         save = super().to_save()
-        return replace(save, vote="") if save else None
+        return replace(save, voted_for="") if save else None
 
 
 class Twice(Leader):
@@ -99,6 +100,6 @@
 }
 MUTATION_PLANTS: Plants = {
     "no-seal": (frames, "open_frame", no_seal),
-    "any-term": (node, "MOST_JUMP", lambda right: 1 << 60),
+    "any-term": (node, "MAX_TERM_INCREASE", lambda right: 1 << 60),
     "twice": (replica, "Leader", lambda right: Twice),
 }
--- a/brookreach/simulation/coordination/drill.py
+++ b/brookreach/simulation/coordination/drill.py
@@ -11,8 +11,8 @@
 import random
 from collections.abc import Callable, Iterator, Sequence
 
-from brookreach.coordination.ports import Timing
 from brookreach.coordination.raft import log, snapshot_transfer
+from brookreach.coordination.timing import Timing
 from brookreach.simulation.coordination import sample_application
 from brookreach.simulation.coordination.client_script import Caller
 from brookreach.simulation.coordination.defects import PLANTS
@@ -27,7 +27,14 @@
 from brookreach.simulation.engine.world import World
 from brookreach.simulation.report import Report, Violation
 
-TIMING = Timing(beat_ms=50.0, election_ms=250.0, lease_ms=1000.0, drift=0.05, most_queued=256, cut_entries=40)
+TIMING = Timing(
+    heartbeat_ms=50.0,
+    election_timeout_ms=250.0,
+    lease_ms=1000.0,
+    drift=0.05,
+    max_pending_proposals=256,
+    snapshot_interval_entries=40,
+)
 RUN_MS, MEND_MS, LOOK_MS = 6000, 6000, 250
 MOST_FAULTS = 12
 
@@ -109,12 +116,12 @@
 def small(tail: int, part: int, append: int = 400) -> Iterator[None]:
     """Logs are cut closer, entries and snapshots sent in smaller parts than outside of drills, or short runs
     see none of it."""
-    right = log.TAIL, snapshot_transfer.MAX_SNAPSHOT_CHUNK_BYTES, log.MOST_BYTES
-    log.TAIL, snapshot_transfer.MAX_SNAPSHOT_CHUNK_BYTES, log.MOST_BYTES = tail, part, append
+    right = log.RETAINED_ENTRIES, snapshot_transfer.MAX_SNAPSHOT_CHUNK_BYTES, log.MAX_APPEND_BYTES
+    log.RETAINED_ENTRIES, snapshot_transfer.MAX_SNAPSHOT_CHUNK_BYTES, log.MAX_APPEND_BYTES = tail, part, append
     try:
         yield
     finally:
-        log.TAIL, snapshot_transfer.MAX_SNAPSHOT_CHUNK_BYTES, log.MOST_BYTES = right
+        log.RETAINED_ENTRIES, snapshot_transfer.MAX_SNAPSHOT_CHUNK_BYTES, log.MAX_APPEND_BYTES = right
 
 
 def play(
--- a/brookreach/simulation/coordination/patient_reader.py
+++ b/brookreach/simulation/coordination/patient_reader.py
@@ -9,8 +9,8 @@
 
 from typing import Any
 
-from brookreach.coordination.ports import Timing
 from brookreach.coordination.protocol import messages
+from brookreach.coordination.timing import Timing
 from brookreach.simulation.engine.process import Party
 from brookreach.simulation.engine.world import World
 
--- a/brookreach/simulation/engine/participants.py
+++ b/brookreach/simulation/engine/participants.py
@@ -12,10 +12,11 @@
 
 from brookreach.coordination.client.client import Client
 from brookreach.coordination.client.events import ClientEvent
-from brookreach.coordination.ports import Ready, Timing
 from brookreach.coordination.protocol import messages
+from brookreach.coordination.raft.types import Ready
 from brookreach.coordination.server.replica import Replica
 from brookreach.coordination.state_machine.application import Application, Row
+from brookreach.coordination.timing import Timing
 from brookreach.simulation.engine.disk import MemoryDisk
 from brookreach.simulation.engine.faults import Fault
 from brookreach.simulation.engine.process import Party
@@ -53,14 +54,14 @@
         return self.keeper.machine.applied
 
     def wakes(self) -> float | None:
-        return self.keeper.wake_ms()
+        return self.keeper.next_wakeup_ms()
 
     def passed(self) -> None:
-        self.keeper.passed(self.now(), self.wall())
+        self.keeper.tick(self.now(), self.wall())
         self.flush()
 
     def hear(self, source: str, body: messages.Body) -> None:
-        self.keeper.hear(self.now(), self.wall(), source, body)
+        self.keeper.handle_message(self.now(), self.wall(), source, body)
         self.flush()
 
     def flush(self) -> None:
@@ -78,7 +79,7 @@
                 self.say(target, body, took)
             for entry in ready.apply:
                 self.world.checkers.applied(self.world.now, self.name, entry)
-            self.keeper.taken(self.now(), ready)
+            self.keeper.advance(self.now(), ready)
         raise RuntimeError(f"{MOST_TURNS} rounds of ready and taken without an end")
 
     def other(self, what: str, load: Any) -> None:
@@ -88,10 +89,10 @@
                 self.die("killed after a promise")
                 self.world.at(self.world.now + 80.0, "", "heal", Fault(0, "kill", (self.name,)))  # if none else does
             case "closed" if self.world.hung_up(self.name, *load):
-                self.keeper.gone(self.now(), load[0])
+                self.keeper.client_disconnected(self.now(), load[0])
                 self.flush()
             case "again":
-                self.keeper.gone(self.now(), load)
+                self.keeper.client_disconnected(self.now(), load)
                 self.flush()
 
     def fell(self) -> None:
@@ -102,7 +103,7 @@
     def fault(self, fault: Fault) -> None:
         match fault.kind:
             case "end" if self.up:
-                self.keeper.end(self.now())
+                self.keeper.shut_down(self.now())
                 self.guarded(self.flush)
             case "full":
                 self.disk.full = True
--- a/brookreach/simulation/engine/process.py
+++ b/brookreach/simulation/engine/process.py
@@ -12,8 +12,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from brookreach.coordination.ports import StorageError, Timing
+from brookreach.coordination.errors import StorageError
 from brookreach.coordination.protocol import messages
+from brookreach.coordination.timing import Timing
 from brookreach.simulation.engine.disk import Died
 from brookreach.simulation.engine.faults import Fault
 from brookreach.simulation.engine.state_digest import shape
--- a/brookreach/simulation/processes/counter_invariants.py
+++ b/brookreach/simulation/processes/counter_invariants.py
@@ -17,15 +17,15 @@
 from brookreach.coordination.client import events
 from brookreach.coordination.client.client import Client
 from brookreach.coordination.client.requests import TooManyRequestsError
-from brookreach.coordination.ports import Timing
 from brookreach.coordination.protocol import messages
+from brookreach.coordination.timing import Timing
 from brookreach.disruption import commands, tables
 from brookreach.simulation.processes.client import Talker, now_ms
 from brookreach.simulation.processes.program import Group
 
 ASK_S, READ_EVERY = 0.04, 4
 TABLES: dict[str, Any] = {tables.NODES: tables.NodeRow}
-TIMING = Timing(beat_ms=50.0, election_ms=300.0, lease_ms=1500.0)
+TIMING = Timing(heartbeat_ms=50.0, election_timeout_ms=300.0, lease_ms=1500.0)
 Say = Callable[[str, str], None]
 
 
--- a/tests/coordination/client_harness.py
+++ b/tests/coordination/client_harness.py
@@ -4,13 +4,13 @@
 from dataclasses import dataclass, field
 
 from brookreach.coordination.client.client import Client
-from brookreach.coordination.ports import Timing
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.protocol.tags import wire_name
 from brookreach.coordination.server.watches import Watches
 from brookreach.coordination.state_machine.application import RowUpdate
 from brookreach.coordination.state_machine.sessions import LeaseBook, SessionEnded, SessionStarted, asked, ordered
 from brookreach.coordination.state_machine.tables import Tables
+from brookreach.coordination.timing import Timing
 from tests.coordination.machine_harness import Log, PotRow
 
 TIMING = Timing(lease_ms=3000.0, drift=0.01)
--- a/tests/coordination/test_machine_durability.py
+++ b/tests/coordination/test_machine_durability.py
@@ -5,11 +5,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from brookreach.coordination.ports import Timing
 from brookreach.coordination.state_machine.application import Command, RowUpdate
 from brookreach.coordination.state_machine.machine import StateMachine
 from brookreach.coordination.state_machine.sessions import LeaseBook, SessionStarted
 from brookreach.coordination.state_machine.snapshots import ReplicaHaltedError
+from brookreach.coordination.timing import Timing
 from tests.coordination.machine_harness import Add, Lids, Log, Odd, PotRow, Pots, Take, play, steps
 
 
--- a/tests/test_scale_control.py
+++ b/tests/test_scale_control.py
@@ -12,7 +12,7 @@
 
 from brookreach.cli.main import main
 from brookreach.cli.scale_control import gathered
-from brookreach.coordination.ports import Timing
+from brookreach.coordination.timing import Timing
 from brookreach.scale import control, control_counts, control_table, storm, storm_table
 from brookreach.scale.control import last_ms
 from brookreach.scale.control_cluster import NotSettled, Size, shares
