--- a/brookreach/coordination/raft/election.py
+++ b/brookreach/coordination/raft/election.py
@@ -25,19 +25,19 @@
         state.step_down()
         if state.me in state.members:
             state.role = TRIES
-            self._ask(state.term + 1, trial=True, handed=False)
+            self._ask(state.term + 1, pre_vote=True, handed=False)
 
     def stand(self, handed: bool) -> None:
         state = self.state
         state.rise(state.term + 1)
         state.vote_for(state.me)
         state.role = STANDS
-        self._ask(state.term, trial=False, handed=handed)
+        self._ask(state.term, pre_vote=False, handed=handed)
 
-    def _ask(self, term: int, trial: bool, handed: bool) -> None:
+    def _ask(self, term: int, pre_vote: bool, handed: bool) -> None:
         state = self.state
         self.votes, self.walls = {state.me}, {state.me: state.wall_ms}
-        ask = RequestVote(term, state.log.last, state.log.last_term, trial, handed)
+        ask = RequestVote(term, state.log.last, state.log.last_term, pre_vote, handed)
         for other in state.others():
             state.say(other, ask)
         self._count()
@@ -58,15 +58,15 @@
         state = self.state
         if ask.last_term >= ask.term or (ask.last_index == 0) != (ask.last_term == 0):
             return state.refuse("a log that can't be")
-        handed = ask.handed and source in state.members
+        handed = ask.leadership_transfer and source in state.members
         if state.hears_leader() and not handed:
             given = False
-        elif ask.trial:
+        elif ask.pre_vote:
             given = ask.term > state.term and not state.behind(ask)
         else:
             given = self._voted_for(source, ask)
-        term = ask.term if ask.trial and given else state.term
-        state.say(source, RequestVoteReply(term, ask.trial, given, state.wall_ms))
+        term = ask.term if ask.pre_vote and given else state.term
+        state.say(source, RequestVoteReply(term, ask.pre_vote, given, state.wall_ms))
 
     def _voted_for(self, source: str, ask: RequestVote) -> bool:
         state = self.state
@@ -82,13 +82,13 @@
         state = self.state
         if source not in state.members:
             return state.refuse("not a seat")
-        asked = state.term + 1 if vote.trial and vote.given else state.term
+        asked = state.term + 1 if vote.pre_vote and vote.vote_granted else state.term
         if vote.term > asked:
-            if vote.given:
+            if vote.vote_granted:
                 return state.refuse("a vote never asked for")
             return state.rise(vote.term)
-        waits = state.role == (TRIES if vote.trial else STANDS)
-        if vote.given and vote.term == asked and waits:
+        waits = state.role == (TRIES if vote.pre_vote else STANDS)
+        if vote.vote_granted and vote.term == asked and waits:
             self.votes.add(source)
             self.walls[source] = vote.wall_ms
             self._count()
--- a/brookreach/coordination/raft/follower.py
+++ b/brookreach/coordination/raft/follower.py
@@ -73,7 +73,7 @@
         if new:
             state.back_to(new[0].index - 1)
             state.add(new)
-        state.commit = max(state.commit, min(message.commit, end))
+        state.commit = max(state.commit, min(message.commit_index, end))
         # Up to `commit` every leader has what stands here, so this may be told beyond the message's end.
         state.say(source, AppendEntriesReply(state.term, True, max(end, state.commit), message.round))
 
