--- a/brookreach/coordination/raft/membership.py
+++ b/brookreach/coordination/raft/membership.py
@@ -1,13 +1,15 @@
-"""Who has a seat: the records that change it, and since which place.
+"""The cluster's members: the log entries that change them, and their history.
 
-It owns the seats as of any place still in memory. A change counts from when it stands in the log, committed
-or not, and is undone with its entry. It must never judge whether a change may be made now; the leader does.
+A change takes effect as soon as its entry is in the log, committed or not, and is undone if the entry is removed
+(section 4.1 of Ongaro's thesis, with one member added or removed at a time). Whether a change may be proposed now is
+for the leader to decide.
 """
 
 from __future__ import annotations
 
 import re
 from collections.abc import Iterable
+from dataclasses import dataclass
 from typing import Annotated
 
 import msgspec
@@ -15,74 +17,104 @@
 from brookreach.coordination.ports import LogRecord
 from brookreach.coordination.protocol.messages import MAX_MEMBERS, Entry, Name
 
-APPLICATION, VERSION = "seats", 1
-ENTRY_PREFIX = b"\x98\xa5seats"  # how a Stamped of this piece begins in msgpack
-_NAME = re.compile(r"[A-Za-z0-9._-]{1,64}")  # as words.Name
+APPLICATION = "seats"  # the name under which membership entries are in the log
+VERSION = 1
+ENTRY_PREFIX = b"\x98\xa5seats"  # the first bytes of a LogRecord of this application in MessagePack
+_NAME = re.compile(r"[A-Za-z0-9._-]{1,64}")  # as messages.Name
 
-Seats = Annotated[tuple[Name, ...], msgspec.Meta(min_length=1, max_length=MAX_MEMBERS)]
-_stamps = msgspec.msgpack.Decoder(LogRecord, strict=True)
-_seats = msgspec.msgpack.Decoder(Seats, strict=True)
+Members = Annotated[tuple[Name, ...], msgspec.Meta(min_length=1, max_length=MAX_MEMBERS)]
+_record_decoder = msgspec.msgpack.Decoder(LogRecord, strict=True)
+_members_decoder = msgspec.msgpack.Decoder(Members, strict=True)
 
 
 def encode_members(members: tuple[str, ...], at_ms: int) -> bytes:
-    """The octets of an entry by which these have the seats."""
-    body = msgspec.msgpack.encode(members)
-    return msgspec.msgpack.encode(LogRecord(APPLICATION, VERSION, at_ms, "", "", 0, 0, body))
+    """Return the data of an entry that makes these the members; `at_ms` is the cluster's time."""
+    command = msgspec.msgpack.encode(members)
+    return msgspec.msgpack.encode(LogRecord(APPLICATION, VERSION, at_ms, "", "", 0, 0, command))
 
 
-def decode_members(octets: bytes) -> tuple[str, ...] | None:
-    """The seats that an entry names, None if it is about something else; ValueError if they can't be read."""
-    if not octets.startswith(ENTRY_PREFIX):
+def decode_members(data: bytes) -> tuple[str, ...] | None:
+    """Return the members that an entry's data sets, or None if the entry is of another kind.
+
+    Raises:
+        ValueError: If a membership entry can't be read.
+    """
+    if not data.startswith(ENTRY_PREFIX):
         return None
-    stamped = _stamps.decode(octets)  # msgspec's errors are ValueErrors
-    if stamped.version != VERSION:
-        raise ValueError(f"seats of version {stamped.version}; {VERSION} is read")
-    members = _seats.decode(stamped.body)
+    record = _record_decoder.decode(data)  # msgspec's errors are ValueErrors
+    if record.version != VERSION:
+        raise ValueError(f"membership entry of version {record.version}; {VERSION} is supported")
+    members = _members_decoder.decode(record.body)
     if not is_valid_membership(members):
-        raise ValueError(f"seats {', '.join(members)}: a name twice")
+        raise ValueError(f"members {', '.join(members)}: a name occurs twice")
     return members
 
 
 def is_valid_membership(members: tuple[str, ...]) -> bool:
-    return 1 <= len(set(members)) == len(members) <= MAX_MEMBERS and all(_NAME.fullmatch(one) for one in members)
+    """Whether these are 1 to `MAX_MEMBERS` different, well-formed names."""
+    if not 1 <= len(members) <= MAX_MEMBERS:
+        return False
+    return len(set(members)) == len(members) and all(_NAME.fullmatch(name) for name in members)
 
 
 def differs_by_one_member(members: tuple[str, ...], others: tuple[str, ...]) -> bool:
-    """Whether exactly one name has come or gone: then any two majorities of both share a keeper."""
+    """Whether exactly one member was added or removed: then any two majorities of both overlap."""
     return len(set(members) ^ set(others)) == 1
 
 
+@dataclass(frozen=True, slots=True)
+class MembershipChange:
+    """The entry at `index` makes these the members."""
+
+    index: int
+    members: tuple[str, ...]
+
+
 class MembershipHistory:
-    """`base` are the seats as of the place `since`; `changes` what came after, in order."""
+    """The members as of a snapshot, and every change in the log after it."""
 
-    def __init__(self, base: tuple[str, ...], since: int, entries: Iterable[Entry]):
-        self.base, self.since = base, since
-        self.changes: list[tuple[int, tuple[str, ...]]] = []
-        self.take(entries)
+    def __init__(self, snapshot_members: tuple[str, ...], snapshot_index: int, entries: Iterable[Entry]):
+        self._base = MembershipChange(snapshot_index, snapshot_members)
+        self._changes: list[MembershipChange] = []
+        self.append(entries)
 
     @property
-    def now(self) -> tuple[str, ...]:
-        return self.changes[-1][1] if self.changes else self.base
+    def _last(self) -> MembershipChange:
+        return self._changes[-1] if self._changes else self._base
 
     @property
-    def changed_at(self) -> int:
-        """Where the last change stands."""
-        return self.changes[-1][0] if self.changes else self.since
+    def current(self) -> tuple[str, ...]:
+        """The members in effect now."""
+        return self._last.members
 
-    def at(self, place: int) -> tuple[str, ...]:
-        return next((members for index, members in reversed(self.changes) if index <= place), self.base)
-
-    def take(self, entries: Iterable[Entry]) -> None:
+    @property
+    def last_change_index(self) -> int:
+        """Index of the entry of the last change, or of the snapshot."""
+        return self._last.index
+
+    def at(self, index: int) -> tuple[str, ...]:
+        """Return the members as of the entry at `index`."""
+        for change in reversed(self._changes):
+            if change.index <= index:
+                return change.members
+        return self._base.members
+
+    def append(self, entries: Iterable[Entry]) -> None:
+        """Take the changes from entries appended to the log."""
         for entry in entries:
             members = decode_members(entry.octets)
             if members is not None:
-                self.changes.append((entry.index, members))
-
-    def back_to(self, place: int) -> None:
-        while self.changes and self.changes[-1][0] > place:
-            self.changes.pop()
-
-    def begin_at(self, place: int, members: tuple[str, ...], keep: bool) -> None:
-        """From a snapshot on; `keep`: what stands after its place stays."""
-        self.base, self.since = members, place
-        self.changes = [one for one in self.changes if keep and one[0] > place]
+                self._changes.append(MembershipChange(entry.index, members))
+
+    def truncate_after(self, index: int) -> None:
+        """Undo the changes after `index`."""
+        while self._changes and self._changes[-1].index > index:
+            self._changes.pop()
+
+    def reset(self, snapshot_index: int, members: tuple[str, ...], *, keep_later: bool) -> None:
+        """Begin at a snapshot; `keep_later`: the log after it stays, so its changes do, too."""
+        self._base = MembershipChange(snapshot_index, members)
+        if keep_later:
+            self._changes = [change for change in self._changes if change.index > snapshot_index]
+        else:
+            self._changes = []
--- a/brookreach/coordination/raft/node.py
+++ b/brookreach/coordination/raft/node.py
@@ -1,8 +1,10 @@
-"""Raft for one keeper, free of I/O: messages and time in; what to save, send and apply out.
+"""A Raft node, free of I/O: messages and time go in; what to save, to send and to apply comes out.
 
-It owns the order in which parts are asked and the contract of `Ready`: save, then `saved`, then send, then
-apply. It must never read a clock, a disk or a socket, and no message may make it raise: what can't be is
-counted in `refusals` by its name and changes nothing.
+The caller keeps this order for each `Ready`: save it, call `on_saved`, send its messages, apply its entries. The node
+never reads a clock, a disk or a socket, and no message makes it raise: one that makes no sense is counted in
+`rejections` and has no effect.
+
+Times are in ms of a clock that never goes back.
 """
 
 from __future__ import annotations
@@ -12,82 +14,82 @@
 from collections import Counter
 
 from brookreach.coordination.errors import StorageError
-from brookreach.coordination.protocol.messages import (
-    MAX_COMMAND_BYTES,
-    AppendEntries,
-    AppendEntriesReply,
-    Body,
-    InstallSnapshot,
-    InstallSnapshotReply,
-    RequestVote,
-    RequestVoteReply,
-    TimeoutNow,
-)
+from brookreach.coordination.protocol.messages import MAX_COMMAND_BYTES, Body
 from brookreach.coordination.raft import membership
+from brookreach.coordination.raft.dispatcher import MessageDispatcher
 from brookreach.coordination.raft.election import Election
 from brookreach.coordination.raft.follower import Follower
-from brookreach.coordination.raft.node_state import LEADS, MAX_TERM_INCREASE, NodeState
+from brookreach.coordination.raft.node_state import NodeState, Role
+from brookreach.coordination.raft.rejection import Rejection
 from brookreach.coordination.raft.replication import LeaderReplication
 from brookreach.coordination.raft.types import Ready, Snapshot, StoredState
 from brookreach.coordination.timing import Timing
 
 
 class RaftNode:
-    """`seats` are those of the configuration; a keeper that is founded, and never stood, must be of the same.
+    """One replica's part in the cluster.
 
-    Who sits where comes from the disk alone: `Store.found` or `Store.join` wrote it once. A keeper whose disk
-    holds neither is `mute`.
+    Attributes:
+        state: What the parts of the node share.
+        replication: The leader's part, while this node leads.
     """
 
-    def __init__(self, me: str, kept: StoredState, members: tuple[str, ...], timing: Timing, chance: random.Random):
-        if (
-            members
-            and me in kept.snapshot.members
-            and kept.term == kept.snapshot.index == 0
-            and set(members) != set(kept.snapshot.members)
-        ):
-            founded, named = ", ".join(sorted(kept.snapshot.members)), ", ".join(sorted(members))
-            raise StorageError(f"founded with {founded}; named are {named}")
-        self.state = NodeState(me, kept, timing, chance)
+    def __init__(
+        self, name: str, stored: StoredState, configured_members: tuple[str, ...], timing: Timing, rng: random.Random
+    ):
+        """Start from what is stored. The members come from there alone; `configured_members` is only compared.
+
+        Raises:
+            StorageError: If the storage was bootstrapped, and never used, with other members than the configured ones.
+        """
+        _check_configured_members(name, stored, configured_members)
+        self.state = NodeState(name, stored, timing, rng)
         self.election = Election(self.state)
         self.follower = Follower(self.state)
         self.replication: LeaderReplication | None = None
-        self.tickets = 0
+        self._dispatcher = MessageDispatcher(self.state, self.election, self.follower)
+        self._last_ticket = 0
 
-    # --- how it stands ---
+    # --- Status ---
 
     @property
     def is_leader(self) -> bool:
-        return self.state.role == LEADS
+        """Whether this node leads as far as it knows."""
+        return self.state.role == Role.LEADER
 
     @property
     def leader(self) -> str:
-        """ "" where none is known."""
+        """The leader's name, or "" if none is known."""
         return self.state.leader
 
     @property
     def term(self) -> int:
+        """The current term."""
         return self.state.term
 
     @property
     def members(self) -> tuple[str, ...]:
+        """The members in effect."""
         return self.state.members
 
     @property
     def commit_index(self) -> int:
-        return self.state.commit
+        """Index of the last entry known to be committed."""
+        return self.state.commit_index
 
     @property
     def is_uninitialized(self) -> bool:
+        """Whether the storage is empty: neither bootstrapped nor joined. Such a node takes part in nothing."""
         return self.state.is_uninitialized
 
     @property
-    def rejections(self) -> Counter[str]:
+    def rejections(self) -> Counter[Rejection]:
+        """How many messages and requests were ignored, by reason."""
         return self.state.rejections
 
     @property
     def wall_ms(self) -> int:
-        """This keeper's own clock, as the caller last set it; it goes with votes."""
+        """This replica's own wall clock, as the caller last set it; it goes with votes."""
         return self.state.wall_ms
 
     @wall_ms.setter
@@ -96,172 +98,156 @@
 
     @property
     def low_median_wall_ms(self) -> int:
-        """Of the clocks that came with the votes by which this keeper became leader, its own among them."""
-        return self.election.wall_ms
+        """Low median of the clocks that came with the votes by which this node became leader, its own included."""
+        return self.election.low_median_wall_ms
 
-    # --- what happens ---
+    # --- Events ---
 
     def handle_message(self, now: float, source: str, message: Body) -> None:
-        state = self.state
-        state.at(now)
-        if state.is_uninitialized:
-            return state.refuse("mute")
-        if source == state.me:
-            return state.refuse("from myself")
-        if not isinstance(
-            message,
-            RequestVote
-            | RequestVoteReply
-            | AppendEntries
-            | AppendEntriesReply
-            | InstallSnapshot
-            | InstallSnapshotReply
-            | TimeoutNow,
-        ):
-            return state.refuse("not among keepers")
-        if not 1 <= message.term <= state.term + MAX_TERM_INCREASE:
-            return state.refuse("a term that can't be")
-        if isinstance(message, RequestVote):
-            self.election.asked(source, message)
-        elif isinstance(message, RequestVoteReply):
-            self.election.answered(source, message)
-        elif isinstance(message, TimeoutNow):
-            self.election.handed(source, message)
-        elif isinstance(message, AppendEntries):
-            self.follower.append(source, message)
-        elif isinstance(message, InstallSnapshot):
-            self.follower.part(source, message)
-        else:
-            self._answered(source, message)
-        self._lead()
-
-    def _answered(self, source: str, answer: AppendEntriesReply | InstallSnapshotReply) -> None:
-        state = self.state
-        if answer.term > state.term:
-            if source in state.members:
-                state.rise(answer.term)
-            else:
-                state.refuse("not a seat")
-        elif answer.term < state.term or self.replication is None:
-            state.refuse("late")
-        else:
-            self.replication.answered(source, answer)
+        """Take a message from `source`."""
+        self.state.advance_clock(now)
+        self._dispatcher.dispatch(source, message, self.replication)
+        self._update_replication()
 
     def tick(self, now: float) -> None:
+        """Do what is due at this time."""
         state = self.state
-        state.at(now)
-        if self.replication:
+        state.advance_clock(now)
+        if self.replication is not None:
             self.replication.tick()
-        elif not state.is_uninitialized and state.due is not None and state.now >= state.due:
-            self.election.timed_out()
-        self._lead()
+        elif not state.is_uninitialized and state.election_due is not None and state.now >= state.election_due:
+            self.election.on_election_timeout()
+        self._update_replication()
 
-    def _lead(self) -> None:
-        """Being leader begins and ends with the role."""
-        if self.state.role != LEADS:
+    def _update_replication(self) -> None:
+        """Begin or end the leader's part with the role."""
+        if not self.is_leader:
             self.replication = None
         elif self.replication is None:
             self.replication = LeaderReplication(self.state)
 
     def next_wakeup_ms(self) -> float:
-        """When to call `passed` again, by the clock of `now`; what is past means at once."""
+        """Return when to call `tick` next; a time that is past means at once."""
         state = self.state
-        if state.due is None:
+        if state.election_due is None:
             return 0.0
-        if self._waits():
+        if self._has_output():
             return state.now
-        if self.replication:
-            return self.replication.beat_at
-        return math.inf if state.is_uninitialized else state.due
+        if self.replication is not None:
+            return self.replication.heartbeat_due
+        return math.inf if state.is_uninitialized else state.election_due
 
-    def _waits(self) -> bool:
-        """Whether `ready` has something to hand out."""
-        state = self.state
-        if state.saving:
+    def _has_output(self) -> bool:
+        if self.state.save_in_progress:
             return False
-        if self.replication and self.replication.confirmed:
+        if self.replication is not None and self.replication.reads.has_confirmed:
             return True
-        return bool(state.out or state.restore) or state.unsaved() or state.commit > state.applied
+        return self.state.has_output()
+
+    # --- Requests ---
 
-    # --- what is asked of it ---
+    def propose(self, now: float, data: bytes) -> int | None:
+        """Append an entry to the log.
 
-    def propose(self, now: float, octets: bytes) -> int | None:
-        """The place where it will stand if it stands at all. None: not leading, ending, full or too long."""
+        Returns:
+            The index that it has if it is ever committed. None: this node does not lead or hands its leadership over,
+            too many entries wait to be committed, or the data is not allowed.
+        """
         state = self.state
-        state.at(now)
-        if self.replication is None or self.replication.handing:
+        state.advance_clock(now)
+        if self.replication is None or self.replication.transfer is not None:
             return None
-        if state.log.last - state.commit >= state.timing.max_pending_proposals:
+        if state.log.last_index - state.commit_index >= state.timing.max_pending_proposals:
             return None
-        if not 1 <= len(octets) <= MAX_COMMAND_BYTES or octets.startswith(membership.ENTRY_PREFIX):
-            state.refuse("a record that can't be")
+        if not 1 <= len(data) <= MAX_COMMAND_BYTES or data.startswith(membership.ENTRY_PREFIX):
+            state.reject(Rejection.INVALID_COMMAND)
             return None
-        return self.replication.add(octets)
+        return self.replication.append(data)
 
     def request_read(self, now: float) -> int:
-        """A ticket, which `Ready.reads` names once this keeper is known to have led after now.
+        """Request a linearizable read.
 
-        0: not leading, or full. Tickets not named yet are void when it no longer leads.
+        Returns:
+            A ticket that `Ready.reads` names once this node is known to have led after `now`; tickets not named yet
+            are void when it stops leading. 0: it does not lead, or too many reads wait.
         """
-        self.state.at(now)
-        if self.replication is None or len(self.replication.asked) >= self.state.timing.max_pending_proposals:
+        state = self.state
+        state.advance_clock(now)
+        if self.replication is None or len(self.replication.reads) >= state.timing.max_pending_proposals:
             return 0
-        self.tickets += 1
-        self.replication.read(self.tickets)
-        return self.tickets
+        self._last_ticket += 1
+        self.replication.request_read(self._last_ticket)
+        return self._last_ticket
 
     def change_members(self, now: float, members: tuple[str, ...], at_ms: int = 0) -> int | None:
-        """One name comes or goes. None: not leading, a change isn't committed yet, or it is not one name."""
+        """Add or remove one member.
+
+        Returns:
+            The index of the entry that does it. None: this node does not lead, an earlier change is not committed yet,
+            or these are not the members but for one.
+        """
         state = self.state
-        state.at(now)
-        if self.replication is None or not self.replication.settled():
+        state.advance_clock(now)
+        if self.replication is None or not self.replication.may_change_members():
             return None
         if not membership.is_valid_membership(members) or not membership.differs_by_one_member(members, state.members):
-            state.refuse("seats that can't be")
+            state.reject(Rejection.INVALID_MEMBERSHIP)
             return None
-        place = self.replication.add(membership.encode_members(members, at_ms))
-        self.replication.seat(place)
-        return place
+        index = self.replication.append(membership.encode_members(members, at_ms))
+        self.replication.track_members(index)
+        return index
 
     def transfer_leadership(self, now: float) -> bool:
-        """Ask the best follower to stand. Nothing is taken meanwhile, for an election time at most."""
-        self.state.at(now)
-        return self.replication is not None and (
-            self.replication.handing is not None or self.replication.transfer_leadership()
-        )
+        """Ask the best follower to take over; proposals are rejected meanwhile, for an election timeout at most."""
+        self.state.advance_clock(now)
+        if self.replication is None:
+            return False
+        return self.replication.transfer is not None or self.replication.begin_transfer()
 
-    def compact_log(self, index: int, octets: bytes) -> None:
-        """The machine's snapshot of all up to `index`: the log before it may go."""
+    def compact_log(self, index: int, data: bytes) -> None:
+        """Take the state machine's snapshot `data` of all entries up to `index`, and drop the log before it."""
         state = self.state
         term = state.log.term_at(index)
-        if term is None or not state.snapshot.index < index <= state.applied:
-            return state.refuse("a cut out of place")
-        state.cut(Snapshot(index, term, state.membership.at(index), octets))
-        if self.replication:
-            self.replication.cut()
+        if term is None or not state.snapshot.index < index <= state.applied_index:
+            state.reject(Rejection.INVALID_COMPACTION)
+            return
+        state.compact(Snapshot(index, term, state.membership.at(index), data))
+        if self.replication is not None:
+            self.replication.on_compaction()
 
-    # --- what comes of it ---
+    # --- Output ---
 
     def ready(self) -> Ready:
-        """Empty while a save that was handed out isn't confirmed by `saved`."""
+        """Return what has to be done; nothing while an earlier save is not confirmed by `on_saved`."""
         ready = Ready()
-        if self.state.saving:
+        if self.state.save_in_progress:
             return ready
-        if self.replication:
+        if self.replication is not None:
             self.replication.flush()
-            self._lead()
-        if self.replication:
-            ready.reads, self.replication.confirmed = self.replication.confirmed, []
+            self._update_replication()
+        if self.replication is not None:
+            ready.reads = self.replication.reads.take_confirmed()
         self.state.fill(ready)
         return ready
 
     def on_saved(self, now: float) -> None:
-        """The last `Ready.save` is on disk. It may commit more: ask `ready` again, after the rest of this."""
+        """Take note that the last `Ready.save` is durable. More may be committed by it, so ask `ready` again."""
         state = self.state
-        state.at(now)
-        if state.saving:
-            state.saving = False
-            state.log.confirmed()
-            if self.replication:
-                self.replication.settle()
-                self._lead()
+        state.advance_clock(now)
+        if not state.save_in_progress:
+            return
+        state.save_in_progress = False
+        state.log.confirm_saved()
+        if self.replication is not None:
+            self.replication.advance_commit_index()
+            self._update_replication()
+
+
+def _check_configured_members(name: str, stored: StoredState, configured: tuple[str, ...]) -> None:
+    members = stored.snapshot.members
+    is_unused = stored.term == 0 and stored.snapshot.index == 0
+    if configured and name in members and is_unused and set(configured) != set(members):
+        raise StorageError(
+            f"bootstrapped with the members {', '.join(sorted(members))}; "
+            f"the configuration names {', '.join(sorted(configured))}"
+        )
--- a/brookreach/model/keepers_times.py
+++ b/brookreach/model/keepers_times.py
@@ -90,7 +90,7 @@
     return any(
         one.raft.replication is not None
         and one.raft.term > term
-        and one.raft.commit_index >= one.raft.replication.first
+        and one.raft.commit_index >= one.raft.replication.first_index
         for one in net.up()
     )
 
--- a/brookreach/simulation/coordination/defects.py
+++ b/brookreach/simulation/coordination/defects.py
@@ -8,10 +8,10 @@
 from typing import Any
 
 from brookreach.coordination.protocol import frames, messages
-from brookreach.coordination.raft import node
+from brookreach.coordination.raft import dispatcher, node
 from brookreach.coordination.raft.node_state import NodeState
 from brookreach.coordination.raft.replication import LeaderReplication
-from brookreach.coordination.raft.types import ConfirmedRead, PendingSave
+from brookreach.coordination.raft.types import PendingSave
 from brookreach.coordination.server import replica
 from brookreach.coordination.server.leader import Leader
 from brookreach.coordination.state_machine import snapshots
@@ -26,24 +26,24 @@
 class NoRound(LeaderReplication):
     """Reads are answered by whoever thinks that it leads."""
 
-    def read(self, ticket: int) -> None:
-        self.confirmed.append(ConfirmedRead(ticket, max(self.state.commit, self.first)))
+    def request_read(self, ticket: int) -> None:
+        self.reads.confirm_now(ticket, max(self._state.commit_index, self.first_index))
 
 
 class OlderTerms(LeaderReplication):
     """What a majority has of an earlier term counts as committed."""
 
-    def settle(self) -> None:
-        place = self.majority_of(self.state.log.saved, lambda peer: peer.match)
-        self.state.commit = max(self.state.commit, place)
-        super().settle()
+    def advance_commit_index(self) -> None:
+        index = self.majority_value(self._state.log.durable_index, lambda follower: follower.match_index)
+        self._state.commit_index = max(self._state.commit_index, index)
+        super().advance_commit_index()
 
 
 class Forgetful(NodeState):
     """A vote is not saved."""
 
-    def to_save(self) -> PendingSave | None:
-        save = super().to_save()
+    def take_save(self) -> PendingSave | None:
+        save = super().take_save()
         return replace(save, voted_for="") if save else None
 
 
@@ -100,6 +100,6 @@
 }
 MUTATION_PLANTS: Plants = {
     "no-seal": (frames, "open_frame", no_seal),
-    "any-term": (node, "MAX_TERM_INCREASE", lambda right: 1 << 60),
+    "any-term": (dispatcher, "MAX_TERM_INCREASE", lambda right: 1 << 60),
     "twice": (replica, "Leader", lambda right: Twice),
 }
