--- a/brookreach/capacity/measure.py
+++ b/brookreach/capacity/measure.py
@@ -112,10 +112,10 @@
     octets = msgspec.msgpack.encode(NODE)
     told = tuple(messages.RowChange(NODES, f"s-{number}", octets) for number in range(rows))
     mirror = TableCache({NODES: APPLICATION.tables[NODES]}, (NODES,))
-    mirror.asked()
+    mirror.begin_watch()
     whole = messages.WatchSnapshot(1, 0, True, marked((NODES,), sum(trace(one) for one in told)) + told)
     began = time.process_time()
-    mirror.whole(whole)
+    mirror.apply_snapshot(whole)
     spent = time.process_time() - began
     if mirror.count(NODES) != rows:
         raise RuntimeError(f"{mirror.count(NODES)} of {rows} rows were taken")
--- a/brookreach/cli/fleet.py
+++ b/brookreach/cli/fleet.py
@@ -131,15 +131,15 @@
     import msgspec
 
     async def look(one: OneShotClient) -> dict[str, Any]:
-        view = await one.view()
+        view = await one.read_view()
         tables = {
             name: {key: msgspec.structs.asdict(row) for key, row in view.rows(name)}
-            for name in sorted(one.client.mirror.watched)
+            for name in sorted(one.client.cache.watched)
         }
         return {
-            "leader": one.keeper,
-            "index": one.client.mirror.index,
-            "at_ms": one.client.mirror.at_ms,
+            "leader": one.leader,
+            "index": one.client.cache.index,
+            "at_ms": one.client.cache.agreed_time_ms,
             "tables": tables,
         }
 
--- a/brookreach/cli/scale_control.py
+++ b/brookreach/cli/scale_control.py
@@ -55,7 +55,7 @@
 
 def gathered(runs: Iterator[Run]) -> tuple[list[Run], str]:
     """What a scale test gives, and why it ended before it was through; "" where it was not."""
-    from brookreach.coordination.client.one_shot import ClusterUnreachableError
+    from brookreach.coordination.client.errors import ClusterUnreachableError
     from brookreach.scale.control_children import ChildFailed
     from brookreach.scale.control_cluster import NotSettled
 
--- a/brookreach/cli/talked.py
+++ b/brookreach/cli/talked.py
@@ -28,7 +28,7 @@
 
 def said(call: Callable[[], Any]) -> Any:
     """What a command of the group does; its errors as one line and exit code 1."""
-    from brookreach.coordination.client.one_shot import ClusterUnreachableError
+    from brookreach.coordination.client.errors import ClusterUnreachableError
     from brookreach.coordination.ports import StorageError
     from brookreach.files import BadFile
 
@@ -119,11 +119,11 @@
     async def each(one: OneShotClient) -> list[tuple[ReplyReceived, str]]:
         got: list[tuple[ReplyReceived, str]] = []
         for order in orders:
-            answer = await one.ask(piece, order)
+            answer = await one.propose(piece, order)
             last = len(got) == len(orders) - 1
             stops = not answer.ok and not on
             look = then is not None and (last or stops or on)
-            got.append((answer, then(await one.view(answer.index)) if look and then else ""))
+            got.append((answer, then(await one.read_view(answer.index)) if look and then else ""))
             if stops:
                 break
         return got
--- a/brookreach/coordination/client/cache.py
+++ b/brookreach/coordination/client/cache.py
@@ -11,6 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from brookreach.coordination.client.errors import RejectedUpdateError
 from brookreach.coordination.client.events import RowsChanged, RowUnreadable
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.state_machine.application import Row, RowUpdate
@@ -21,14 +22,6 @@
 RECENT = 256  # messages that are known again if they come twice
 
 
-class RejectedUpdateError(Exception):
-    """A message that does not fit. `name` is counted; `anew`: it takes a new Watch to go on."""
-
-    def __init__(self, name: str, anew: bool):
-        super().__init__(name)
-        self.name, self.anew = name, anew
-
-
 @dataclass(slots=True)
 class Staged:
     index: int
@@ -46,10 +39,10 @@
         self.watched = tuple(sorted(set(watched)))
         self._names = frozenset(watched)
         self._tables = Tables({name: types[name] for name in self.watched})
-        self.index = self.at_ms = 0
-        self.unread: dict[tuple[str, str], str] = {}
+        self.index = self.agreed_time_ms = 0
+        self.unreadable: dict[tuple[str, str], str] = {}
         self._traces: dict[tuple[str, str], int] = {}  # what they count in the sum
-        self.awaits = False  # a Watch is not yet answered
+        self.awaiting_reply = False  # a Watch is not yet answered
         self._anew = True
         self._staged: Staged | None = None
         self._older = 0
@@ -67,38 +60,38 @@
     def digest(self) -> str:
         return self._tables.digest()
 
-    def asked(self) -> int:
+    def begin_watch(self) -> int:
         """From where the next Watch asks; what was told for an earlier one no longer counts."""
-        self.awaits, self._staged = True, None
+        self.awaiting_reply, self._staged = True, None
         self._recent.clear()  # it may be answered by what was told before
         return 0 if self._anew else self.index
 
     @property
-    def settled(self) -> bool:
+    def up_to_date(self) -> bool:
         """What is told next is changes after `index`."""
-        return not (self.awaits or self._anew or self._staged)
+        return not (self.awaiting_reply or self._anew or self._staged)
 
-    def told_ms(self, at_ms: int) -> bool:
+    def advance_agreed_time(self, at_ms: int) -> bool:
         """The agreed time never goes back. False: this would."""
-        back = at_ms < self.at_ms
-        self.at_ms = max(self.at_ms, at_ms)
+        back = at_ms < self.agreed_time_ms
+        self.agreed_time_ms = max(self.agreed_time_ms, at_ms)
         return not back
 
-    def changes(self, message: messages.WatchUpdate) -> list[RowsChanged | RowUnreadable]:
+    def apply_update(self, message: messages.WatchUpdate) -> list[RowsChanged | RowUnreadable]:
         self._not_twice(message)
         if self._anew:
             raise RejectedUpdateError("not what was asked", False)  # that is answered by the whole
-        rows = self._marked(message.rows, named=self.awaits)
+        rows = self._marked(message.rows, named=self.awaiting_reply)
         if message.since != self.index or message.index < message.since:
             raise self._misfit("gap")
         if self._staged:
             raise self._misfit("in a whole")
         told = self._laid(rows, message.rows[0].octets, message.index, whole=False)
-        self.awaits = False
+        self.awaiting_reply = False
         self._recent.append(hash(message))
         return told
 
-    def whole(self, message: messages.WatchSnapshot) -> list[RowsChanged | RowUnreadable]:
+    def apply_snapshot(self, message: messages.WatchSnapshot) -> list[RowsChanged | RowUnreadable]:
         self._not_twice(message)
         staged = self._staged
         if message.nth:
@@ -110,7 +103,7 @@
             rows = self._marked(message.rows, named=True)
             self._young(message.index)
             staged = self._staged = Staged(message.index, message.rows[0].octets)
-            self.awaits = False
+            self.awaiting_reply = False
         if len(staged.rows) + len(rows) > MOST_STAGED:
             raise self._misfit("too many rows")
         staged.rows += rows
@@ -125,7 +118,7 @@
             for key, _ in self.rows(table)
             if (table, key) not in held
         ]
-        gone += [messages.RowChange(*place, None) for place in self.unread if place not in held]
+        gone += [messages.RowChange(*place, None) for place in self.unreadable if place not in held]
         told = self._laid([*gone, *staged.rows], staged.total, staged.index, whole=True)
         self._staged, self._anew = None, False
         return told
@@ -138,7 +131,7 @@
         """A whole that would take this back is one told before. Where one Watch after another is answered
         so, it is what is held here that was wrong."""
         if index < self.index:
-            self._older += self.awaits
+            self._older += self.awaiting_reply
             if self._older < OLDER:
                 raise self._misfit("older than held")
         self._older = 0
@@ -168,23 +161,23 @@
     ) -> list[RowsChanged | RowUnreadable]:
         """All of it, if then the sum is as told; else nothing has changed."""
         before = [self._tables.standing(one.table, one.key) for one in rows]
-        unread, traces = dict(self.unread), dict(self._traces)
+        unread, traces = dict(self.unreadable), dict(self._traces)
         made, events = [], list[RowsChanged | RowUnreadable]()
         for one in rows:
             place = one.table, one.key
-            self.unread.pop(place, None)
+            self.unreadable.pop(place, None)
             self._traces.pop(place, None)
             try:
                 made.append(self._tables.read(one.table, one.key, one.octets))
             except (InvalidRowError, RowTooLargeError) as error:  # what stood there is no longer so
-                self.unread[place], self._traces[place] = str(error), trace(one)
+                self.unreadable[place], self._traces[place] = str(error), trace(one)
                 made.append((None, messages.RowChange(one.table, one.key, None)))
                 events.append(RowUnreadable(one.table, one.key, str(error)))
         moved = self._tables.lay(made)
         ours = sum(self._tables.sums.values()) + sum(self._traces.values())
         if (ours % (1 << 8 * SUM)).to_bytes(SUM, "big") != total:
             self._tables.lay(before)
-            self.unread, self._traces = unread, traces
+            self.unreadable, self._traces = unread, traces
             raise self._misfit("other sum")
         puts = tuple(RowUpdate(one.table, one.key, self.get(one.table, one.key)) for one in moved)
         self.index = index
--- a/brookreach/coordination/client/connection.py
+++ b/brookreach/coordination/client/connection.py
@@ -7,7 +7,6 @@
 
 from __future__ import annotations
 
-import time
 from collections import Counter
 from collections.abc import Callable, Mapping
 from functools import partial
@@ -17,6 +16,7 @@
 
 from brookreach.coordination.client.client import Client
 from brookreach.coordination.client.events import ClientEvent
+from brookreach.coordination.clock import now_ms
 from brookreach.coordination.protocol import frames as seal
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.protocol.stream import BOUNDS, LOST, Bounds, Inbox, Line, TooLong, frames
@@ -24,16 +24,11 @@
 MOST_REST_S = 5.0  # a clock that stands still is looked at again
 
 
-def now_ms() -> float:
-    """The clock of leases: it goes on while the process is stopped, and is never set."""
-    return time.monotonic() * 1000.0
-
-
 class ReplicaConnection:
     """One connection to a keeper, from before it stands."""
 
     def __init__(self, keeper: str, line: Line):
-        self.keeper, self.line, self.over = keeper, line, False
+        self.replica, self.line, self.closed = keeper, line, False
 
 
 class ClientConnection:
@@ -48,13 +43,13 @@
         told: Callable[[ClientEvent], object],
         bounds: Bounds = BOUNDS,
     ):
-        self.client, self.group, self.key, self.keepers = client, group, key, keepers
-        self.told, self.bounds = told, bounds
+        self.client, self.group, self.key, self.addresses = client, group, key, keepers
+        self.on_event, self.bounds = told, bounds
         self.inbox = Inbox(bounds.inbox)
-        self.call: ReplicaConnection | None = None
-        self.refused: Counter[str] = Counter()
+        self.connection: ReplicaConnection | None = None
+        self.rejected_frames: Counter[str] = Counter()
 
-    def stir(self) -> None:
+    def wake(self) -> None:
         """The client was asked something by another task."""
         self.inbox.came.set()
 
@@ -63,51 +58,51 @@
         async with anyio.create_task_group() as tasks:
             while True:
                 self._turn(tasks)
-                wake = self.client.wake_ms()
+                wake = self.client.next_wakeup_ms()
                 wait_s = MOST_REST_S if wake is None else (wake - now_ms()) / 1000.0
                 await self.inbox.wait(min(wait_s, MOST_REST_S))
 
-    async def end(self, wait_s: float = 1.0) -> None:
+    async def close(self, wait_s: float = 1.0) -> None:
         """The session is left; what was to be said of it is written, if that goes quickly."""
-        self.client.leave(now_ms())
-        call, out = self.call, self.client.out()
+        self.client.close(now_ms())
+        call, out = self.connection, self.client.take_outgoing()
         for keeper, body in out:
-            if call is not None and keeper == call.keeper:
+            if call is not None and keeper == call.replica:
                 call.line.put(seal.seal_frame(self.key, self.group, self.client.name, keeper, body))
         if call is not None:
             call.line.finish()
             with anyio.move_on_after(wait_s):
-                while not call.over:
+                while not call.closed:
                     await anyio.sleep(0.005)
 
     def _turn(self, tasks: anyio.abc.TaskGroup) -> None:
-        client, call = self.client, self.call
+        client, call = self.client, self.connection
         for keeper, body in self.inbox.take(0):
-            client.hear(now_ms(), keeper, body)
-        if call is not None and call.over:
-            self.call = None
-            client.lost(now_ms(), call.keeper)
-        client.passed(now_ms())
-        for keeper, body in client.out():
+            client.handle_message(now_ms(), keeper, body)
+        if call is not None and call.closed:
+            self.connection = None
+            client.connection_lost(now_ms(), call.replica)
+        client.advance_time(now_ms())
+        for keeper, body in client.take_outgoing():
             if isinstance(body, messages.OpenSession):
                 self._dial(tasks, keeper)
-            if self.call is not None and keeper == self.call.keeper:
-                self.call.line.put(seal.seal_frame(self.key, self.group, client.name, keeper, body))
-        for event in client.news():
-            self.told(event)
+            if self.connection is not None and keeper == self.connection.replica:
+                self.connection.line.put(seal.seal_frame(self.key, self.group, client.name, keeper, body))
+        for event in client.take_events():
+            self.on_event(event)
 
     def _dial(self, tasks: anyio.abc.TaskGroup, keeper: str) -> None:
         """A Join is the first on its connection; what was said before is still written on the one before."""
-        if self.call is not None:
-            self.call.line.finish()
+        if self.connection is not None:
+            self.connection.line.finish()
         self.inbox.keepers.clear()
-        self.call = ReplicaConnection(keeper, Line(self.bounds.to_client, False, self.bounds.stalled_s))
-        tasks.start_soon(self._connect, self.call)
+        self.connection = ReplicaConnection(keeper, Line(self.bounds.to_client, False, self.bounds.stalled_s))
+        tasks.start_soon(self._connect, self.connection)
 
     async def _connect(self, call: ReplicaConnection) -> None:
         try:
             with anyio.fail_after(self.bounds.dial_s):
-                stream = await anyio.connect_tcp(*self.keepers[call.keeper])
+                stream = await anyio.connect_tcp(*self.addresses[call.replica])
             async with stream, anyio.create_task_group() as tasks:
                 tasks.start_soon(partial(self._write, call, stream, tasks.cancel_scope))
                 await self._read(call, stream)
@@ -115,7 +110,7 @@
         except* LOST:
             pass
         finally:
-            call.over = True
+            call.closed = True
             self.inbox.came.set()
 
     async def _write(self, call: ReplicaConnection, stream: anyio.abc.ByteStream, scope: anyio.CancelScope) -> None:
@@ -128,14 +123,16 @@
             async for octets in frames(stream, messages.MAX_FRAME_BYTES):
                 try:
                     frame = seal.open_frame(self.key, self.group, self.client.name, octets, messages.SERVER_MESSAGES)
-                    if frame.source != call.keeper:
-                        raise messages.InvalidFrameError("not its to say", f"{frame.source} where {call.keeper} speaks")
+                    if frame.source != call.replica:
+                        raise messages.InvalidFrameError(
+                            "not its to say", f"{frame.source} where {call.replica} speaks"
+                        )
                 except messages.InvalidFrameError as error:
-                    self.refused[error.name] += 1
+                    self.rejected_frames[error.name] += 1
                     if error.name == "bad seal":
                         return
                     continue
-                if self.call is call:
+                if self.connection is call:
                     await self.inbox.put(self.inbox.keepers, frame.source, frame.body)
         except TooLong:
-            self.refused["too long"] += 1
+            self.rejected_frames["too long"] += 1
--- a/brookreach/coordination/client/events.py
+++ b/brookreach/coordination/client/events.py
@@ -12,8 +12,8 @@
     """A connection to the leader stands. `again`: with the session that was there before."""
 
     session: int
-    keeper: str
-    again: bool
+    replica: str
+    resumed: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,7 +29,7 @@
     """From now on nothing may be done under it. A new one is sought."""
 
     session: int
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,7 +47,7 @@
     """The question may have had its effect or may yet have it: look at the state before asking anew."""
 
     seq: int
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +56,7 @@
 
     index: int
     updates: tuple[RowUpdate, ...]
-    whole: bool
+    is_snapshot: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -72,7 +72,7 @@
 class ClientRejected:
     """The group won't have this client, or what it watches, as it is; it goes on trying, seldom."""
 
-    why: str
+    reason: str
     text: str
 
 
--- a/brookreach/coordination/client/leader_discovery.py
+++ b/brookreach/coordination/client/leader_discovery.py
@@ -22,10 +22,10 @@
         self._first, self._most_told = timing.beat_ms, WAIT * timing.lease_ms
         self._chance, self._failed = chance, 0
 
-    def went_well(self) -> None:
+    def reset(self) -> None:
         self._failed = 0
 
-    def next(self, most_ms: float, told_ms: int = 0) -> float:
+    def next_delay_ms(self, most_ms: float, told_ms: int = 0) -> float:
         """No shorter than one was told to wait."""
         most = min(most_ms, self._first * 2 ** min(self._failed, MOST_DOUBLED))
         self._failed += 1
@@ -41,27 +41,27 @@
         self._pauses = Pauses(timing, chance)
         self._named, self._hops = "", set[str]()  # who is tried next; to whom one went at once
         self._row = set[str]()  # those tried since the last pause
-        self.at_ms = 0.0  # when the next is to be tried
+        self.next_attempt_ms = 0.0  # when the next is to be tried
 
     def knows(self, keeper: str) -> bool:
         return keeper in self._keepers
 
-    def went_well(self) -> None:
-        self._pauses.went_well()
+    def record_success(self) -> None:
+        self._pauses.reset()
         self._hops.clear()
 
-    def later(self, now: float, most_ms: float, named: str = "", come_back_ms: int = 0) -> None:
+    def schedule_next(self, now: float, most_ms: float, named: str = "", come_back_ms: int = 0) -> None:
         """Leaves a keeper. One that is named is tried at once, each a first time since something went well:
         keepers go on naming a leader that died, so the next one must not wait for the pauses since."""
         self._named = named
         if named and named not in self._hops | self._row and not come_back_ms:
             self._hops.add(named)
-            self.at_ms = now
+            self.next_attempt_ms = now
         else:
             self._row.clear()
-            self.at_ms = now + self._pauses.next(most_ms, come_back_ms)
+            self.next_attempt_ms = now + self._pauses.next_delay_ms(most_ms, come_back_ms)
 
-    def next(self) -> str:
+    def next_replica(self) -> str:
         named, self._named = self._named, ""
         if not named:
             named = self._keepers.pop(0)
--- a/brookreach/coordination/client/requests.py
+++ b/brookreach/coordination/client/requests.py
@@ -13,6 +13,7 @@
 
 import msgspec
 
+from brookreach.coordination.client.errors import RequestOutOfOrderError, TooManyRequestsError
 from brookreach.coordination.client.events import OutcomeUnknown, ReplyReceived
 from brookreach.coordination.client.leader_discovery import Pauses
 from brookreach.coordination.ports import Timing
@@ -20,19 +21,11 @@
 from brookreach.coordination.state_machine.application import Command
 from brookreach.coordination.state_machine.sessions import SPARE
 
-MOST_ASKS = 64
+MAX_PENDING_REQUESTS = 64
 
 _out = msgspec.msgpack.Encoder(order="deterministic")
 
 
-class TooManyRequestsError(Exception):
-    """The queue is full: the group is slower than what is asked of it. Nothing was taken."""
-
-
-class RequestOutOfOrderError(Exception):
-    """What the group took under a number can't be known any more: the session is to be left."""
-
-
 @dataclass(slots=True)
 class PendingRequest:
     seq: int  # as its asker knows it
@@ -45,7 +38,7 @@
 
 
 class RequestQueue:
-    def __init__(self, timing: Timing, chance: random.Random, most: int = MOST_ASKS):
+    def __init__(self, timing: Timing, chance: random.Random, most: int = MAX_PENDING_REQUESTS):
         self._most, self._again, self._pauses = most, timing.lease_ms, Pauses(timing, chance)
         self._queue: deque[PendingRequest] = deque()
         self._count = 0
@@ -87,7 +80,7 @@
         one = self._queue[0]
         if message.why == "busy":
             one.flying = False
-            self._at = now + self._pauses.next(self._again, message.come_back_ms)
+            self._at = now + self._pauses.next_delay_ms(self._again, message.come_back_ms)
             return None
         if message.why not in ("refused", "too new") or one.doubtful:
             raise RequestOutOfOrderError(f"{message.why}: {message.text}")
@@ -99,7 +92,7 @@
 
     def _answered(self, ok: bool, text: str, index: int) -> ReplyReceived:
         self._at = None
-        self._pauses.went_well()
+        self._pauses.reset()
         return ReplyReceived(self._queue.popleft().seq, ok, text, index)
 
     def dropped(self) -> None:
--- a/brookreach/coordination/client/session_holder.py
+++ b/brookreach/coordination/client/session_holder.py
@@ -5,13 +5,10 @@
 
 from __future__ import annotations
 
+from brookreach.coordination.client.errors import SessionNotHeldError
 from brookreach.coordination.client.lease import Lease
 
 
-class SessionNotHeldError(Exception):
-    """There is no session whose lease holds: nothing may be done in its name."""
-
-
 class SessionHolder:
     """The holder `name` of at most one session; 0 stands for none."""
 
@@ -22,15 +19,15 @@
     def session(self) -> int:
         return self._lease.session
 
-    def holds(self, now: float) -> bool:
+    def holds_lease(self, now: float) -> bool:
         """By a clock that is read now, and not before something that may have taken long."""
         return self._lease.holds(now)
 
-    def fence(self, now: float) -> int | None:
+    def fencing_token(self, now: float) -> int | None:
         return self._lease.session if self._lease.holds(now) else None
 
-    def guard(self, now: float) -> int:
+    def require_fencing_token(self, now: float) -> int:
         """The fence to act with; raises SessionNotHeldError."""
-        if (fence := self.fence(now)) is None:
+        if (fence := self.fencing_token(now)) is None:
             raise SessionNotHeldError(f"{self.name} holds no session at {now:.0f} ms of its clock")
         return fence
--- a/brookreach/coordination/client/watch.py
+++ b/brookreach/coordination/client/watch.py
@@ -9,7 +9,8 @@
 import random
 from collections import Counter
 
-from brookreach.coordination.client.cache import RejectedUpdateError, TableCache
+from brookreach.coordination.client.cache import TableCache
+from brookreach.coordination.client.errors import RejectedUpdateError
 from brookreach.coordination.client.events import RowsChanged, RowUnreadable
 from brookreach.coordination.client.leader_discovery import WAIT, Pauses
 from brookreach.coordination.ports import Timing
@@ -33,7 +34,7 @@
         if self._at is None or now < self._at:
             return None
         self._at = now + 2 * self._lease
-        return messages.WatchRequest(session, self._mirror.asked(), self._mirror.watched)
+        return messages.WatchRequest(session, self._mirror.begin_watch(), self._mirror.watched)
 
     def hear(
         self, now: float, message: messages.WatchUpdate | messages.WatchSnapshot
@@ -43,15 +44,19 @@
             self._refusals["not asked"] += 1
             return []
         try:
-            told = mirror.changes(message) if isinstance(message, messages.WatchUpdate) else mirror.whole(message)
+            told = (
+                mirror.apply_update(message)
+                if isinstance(message, messages.WatchUpdate)
+                else mirror.apply_snapshot(message)
+            )
         except RejectedUpdateError as error:
-            self._refusals[error.name] += 1
-            if error.anew:
+            self._refusals[error.reason] += 1
+            if error.needs_new_watch:
                 self._soon(now)
             return []
-        if mirror.settled:
+        if mirror.up_to_date:
             self._at = None
-            self._pauses.went_well()
+            self._pauses.reset()
         else:
             self._at = now + 2 * self._lease  # the next part
         return told
@@ -60,11 +65,11 @@
         if self._at is None:
             self._refusals["not asked"] += 1
         elif message.why == "busy":
-            self._at = now + self._pauses.next(self._lease, message.come_back_ms)
+            self._at = now + self._pauses.next_delay_ms(self._lease, message.come_back_ms)
         else:  # another keeper, or this one once it is of another version, may know what it names
             self._at = now + WAIT * self._lease
 
     def _soon(self, now: float) -> None:
         """What did not fit before the Watch is sent changes nothing more."""
-        at = now + self._pauses.next(self._lease)
+        at = now + self._pauses.next_delay_ms(self._lease)
         self._at = at if self._at is None else min(at, self._at)
--- a/brookreach/coordination/server/process.py
+++ b/brookreach/coordination/server/process.py
@@ -19,7 +19,7 @@
 import anyio.abc
 
 from brookreach.coordination import configuration
-from brookreach.coordination.client.connection import now_ms
+from brookreach.coordination.clock import now_ms
 from brookreach.coordination.ports import Ready, StorageError
 from brookreach.coordination.protocol.stream import BOUNDS
 from brookreach.coordination.server.replica import Replica
--- a/brookreach/disruption/balancer_client.py
+++ b/brookreach/disruption/balancer_client.py
@@ -19,7 +19,8 @@
 
 from brookreach.coordination import configuration
 from brookreach.coordination.client.client import Client
-from brookreach.coordination.client.connection import ClientConnection, now_ms
+from brookreach.coordination.client.connection import ClientConnection
+from brookreach.coordination.client.errors import SessionNotHeldError, TooManyRequestsError
 from brookreach.coordination.client.events import (
     ClientEvent,
     ClientRejected,
@@ -28,8 +29,7 @@
     SessionEstablished,
     SessionLost,
 )
-from brookreach.coordination.client.requests import TooManyRequestsError
-from brookreach.coordination.client.session_holder import SessionNotHeldError
+from brookreach.coordination.clock import now_ms
 from brookreach.coordination.state_machine.application import Command
 from brookreach.disruption.application import APPLICATION
 from brookreach.disruption.commands import AskRestart, MarshalSeen
@@ -92,37 +92,37 @@
 
     async def ends(self) -> None:
         with anyio.move_on_after(0.2):
-            await self.dial.end(0.1)
+            await self.dial.close(0.1)
 
     def _say(self) -> None:
-        self._ask(MarshalSeen(self.name, self.zone, 0, SERVICE, self.seen, True, self.client.mirror.index))
+        self._ask(MarshalSeen(self.name, self.zone, 0, SERVICE, self.seen, True, self.client.cache.index))
 
     def _ask(self, order: Command) -> None:
         """Without a session there is nobody to ask; the next one begins with what stands then."""
         if self.client.session:
             with contextlib.suppress(TooManyRequestsError, SessionNotHeldError):
-                self.client.ask(now_ms(), APPLICATION.name, order)
-            self.dial.stir()
+                self.client.propose(now_ms(), APPLICATION.name, order)
+            self.dial.wake()
 
     def hear(self, event: ClientEvent) -> None:
         say = self.parts.report.say
         match event:
-            case SessionEstablished(session=session, keeper=keeper, again=again):
+            case SessionEstablished(session=session, replica=keeper, resumed=again):
                 say("fleet", f"session {session} {'goes on' if again else 'begins'} with {keeper}")
                 if not again:
                     self._say()
-            case SessionLost(session=session, why=why):
+            case SessionLost(session=session, reason=why):
                 say("fleet", f"session {session} is lost: {why}; what was agreed last stands")
             case RowsChanged():
                 self._changed(event)
             case ReplyReceived(ok=False, text=text):
                 say("fleet", f"refused: {text}")
-            case ClientRejected(why=why, text=text):
+            case ClientRejected(reason=why, text=text):
                 say("fleet", f"turned away, {why}: {text}")
 
     def _changed(self, event: RowsChanged) -> None:
         began = time.monotonic()
-        moved = self.overlay.agreed(self.agreed.take(self.client.mirror, event))
+        moved = self.overlay.agreed(self.agreed.take(self.client.cache, event))
         took = f"told in {(time.monotonic() - began) * 1000.0:.1f} ms"
         for name in moved:
             stands = "drains" if name in self.overlay.names else "is as discovery has it"
--- a/brookreach/disruption/endpoint_overlay.py
+++ b/brookreach/disruption/endpoint_overlay.py
@@ -32,7 +32,7 @@
         self.permits: dict[str, PermitRow] = {}  # drains that are out, by name
 
     def take(self, view: View, changed: RowsChanged) -> frozenset[str]:
-        if changed.whole:
+        if changed.is_snapshot:
             self.permits = {name: row for name, row in view.rows(PERMITS) if self._drains(row)}
         else:
             for put in changed.updates:
--- a/brookreach/disruption/node_agent.py
+++ b/brookreach/disruption/node_agent.py
@@ -18,8 +18,9 @@
 
 from brookreach.coordination import configuration
 from brookreach.coordination.client.client import Client
-from brookreach.coordination.client.connection import ClientConnection, now_ms
+from brookreach.coordination.client.connection import ClientConnection
 from brookreach.coordination.client.events import ClientEvent, ReplyReceived, RowsChanged, SessionEstablished
+from brookreach.coordination.clock import now_ms
 from brookreach.coordination.state_machine.application import Row
 from brookreach.disruption.application import APPLICATION
 from brookreach.disruption.commands import NodeSeen
@@ -105,13 +106,13 @@
                 self.standing,
                 self.life,
                 self.standing == "ready",
-                self.client.mirror.index,
+                self.client.cache.index,
             )
-            self.client.ask(now_ms(), APPLICATION.name, order)
-            self.dial.stir()
+            self.client.propose(now_ms(), APPLICATION.name, order)
+            self.dial.wake()
 
     def hear(self, event: ClientEvent) -> None:
-        if isinstance(event, SessionEstablished) and not event.again:
+        if isinstance(event, SessionEstablished) and not event.resumed:
             self._tell()
         elif isinstance(event, RowsChanged):
             self._changed()
@@ -121,14 +122,14 @@
 
     def _halted(self, permit: str) -> bool:
         """Whether a halt, as far as its mirror shows, keeps it from going by this permit."""
-        halt = self.client.mirror.get(HALT, "all")
+        halt = self.client.cache.get(HALT, "all")
         return isinstance(halt, HaltRow) and not (halt.way_back and permit.startswith("release:"))
 
     def _changed(self) -> None:
         """A drain that was given begins, one that was taken back ends; each is said once."""
         mine = [
             (name, row)
-            for name, row in self.client.mirror.rows(PERMITS)
+            for name, row in self.client.cache.rows(PERMITS)
             if isinstance(row, PermitRow) and row.what == "drain" and row.target == self.facts.name
         ]
         given = [name for name, row in mine if row.state == "given" and row.life == self.life]
--- a/brookreach/gang_scheduling/agent/process.py
+++ b/brookreach/gang_scheduling/agent/process.py
@@ -20,7 +20,7 @@
 import anyio
 
 from brookreach.coordination import configuration
-from brookreach.coordination.client.connection import now_ms
+from brookreach.coordination.client.errors import SessionNotHeldError, TooManyRequestsError
 from brookreach.coordination.client.events import (
     ClientEvent,
     LeaseRenewed,
@@ -29,8 +29,7 @@
     RowsChanged,
     SessionLost,
 )
-from brookreach.coordination.client.requests import TooManyRequestsError
-from brookreach.coordination.client.session_holder import SessionNotHeldError
+from brookreach.coordination.clock import now_ms
 from brookreach.coordination.protocol.tags import wire_name
 from brookreach.coordination.state_machine.application import Command
 from brookreach.disruption.node_agent import Agent, Facts, Say
@@ -123,7 +122,7 @@
     def _errands(self) -> None:
         now = now_ms()
         self.again_at = now + AGAIN_MS
-        for errand in errands(self.client.mirror, self.facts.name):
+        for errand in errands(self.client.cache, self.facts.name):
             self.hands.hear(now, errand)
         self._flush()
 
@@ -140,8 +139,8 @@
         """Refused, lost or late: the rows still name what it is about, so it is said again."""
         if self.client.session:
             with contextlib.suppress(TooManyRequestsError, SessionNotHeldError):
-                self.asked[self.client.ask(now_ms(), APPLICATION.name, order)] = order
-            self.dial.stir()
+                self.asked[self.client.propose(now_ms(), APPLICATION.name, order)] = order
+            self.dial.wake()
 
     # --- the node ---
 
@@ -175,7 +174,7 @@
         self._after(row.load_ms, lambda: self._loaded(work))
 
     def _row(self, slot: Slot) -> GangRow:
-        row: GangRow = self.client.mirror.get(GANGS, slot[0])
+        row: GangRow = self.client.cache.get(GANGS, slot[0])
         return row
 
     def _loaded(self, work: Work) -> None:
@@ -184,7 +183,7 @@
 
     def _saved(self, work: Work, epoch: int) -> None:
         if self.works.get(work.slot) is work and work.since is None:
-            row: GangRow | None = self.client.mirror.get(GANGS, work.slot[0])
+            row: GangRow | None = self.client.cache.get(GANGS, work.slot[0])
             most = row.work_ms if row is not None else int(work.kept)
             work.epoch = epoch
             self._write("saved", work)
--- a/brookreach/model/keepers_load.py
+++ b/brookreach/model/keepers_load.py
@@ -32,7 +32,7 @@
         crowd.ask("op", AskDrain(f"work-{node}", node, 5, "work"))
 
     def stands(standing: str, life: int) -> None:
-        crowd.ask(node, seen(node, standing, life, crowd.clients[node].mirror.index))
+        crowd.ask(node, seen(node, standing, life, crowd.clients[node].cache.index))
 
     crowd.at(ms, given)
     crowd.at(ms + 500.0, lambda: stands("draining", 1))
--- a/brookreach/scale/control.py
+++ b/brookreach/scale/control.py
@@ -15,7 +15,7 @@
 import anyio
 import msgspec
 
-from brookreach.coordination.client.connection import now_ms
+from brookreach.coordination.clock import now_ms
 from brookreach.scale.control_cluster import AT_ONCE, Cluster, Size, open_cluster
 from brookreach.scale.control_day import DAY_S, FULL_DAY, Agreed, Day, Outcome, play
 from brookreach.scale.hollow_protocol import Figures, Step
--- a/brookreach/scale/control_cluster.py
+++ b/brookreach/scale/control_cluster.py
@@ -17,8 +17,9 @@
 import anyio
 
 from brookreach.coordination import configuration
+from brookreach.coordination.client.errors import ClusterUnreachableError
 from brookreach.coordination.client.events import ReplyReceived
-from brookreach.coordination.client.one_shot import ClusterUnreachableError, OneShotClient
+from brookreach.coordination.client.one_shot import OneShotClient
 from brookreach.coordination.ports import PendingSave
 from brookreach.coordination.protocol.messages import ClientKind
 from brookreach.coordination.server.process import disk_of
@@ -118,14 +119,14 @@
 
     async def asked(self, order: Command) -> ReplyReceived:
         """By the operator; raises ClusterUnreachableError."""
-        return await self.operator.ask(APPLICATION.name, order)
+        return await self.operator.propose(APPLICATION.name, order)
 
     async def leader(self) -> str:
         """As the operator's connection has it; raises ClusterUnreachableError."""
         with anyio.move_on_after(START_S):
-            while not self.operator.client.joined:
+            while not self.operator.client.connected:
                 await anyio.sleep(LOOK_S)
-            return self.operator.client.keeper
+            return self.operator.client.replica
         raise ClusterUnreachableError(f"no keeper that leads was reached within {START_S:.0f} s")
 
     def usage(self, keeper: str) -> Usage:
@@ -183,7 +184,7 @@
                 ends.push_async_callback(child.kill)
             await start_talk(cluster.operator, tasks)
             yield cluster
-            await cluster.operator.dial.end(LEAVE_S)
+            await cluster.operator.connection.close(LEAVE_S)
             for child in cluster.hollow:
                 await child.end()
             tasks.cancel_scope.cancel()
@@ -191,13 +192,13 @@
 
 async def start_talk(talk: OneShotClient, tasks: anyio.abc.TaskGroup) -> None:
     """Until it has a session; raises ClusterUnreachableError."""
-    tasks.start_soon(talk.dial.run)
+    tasks.start_soon(talk.connection.run)
     with anyio.move_on_after(START_S):
         while not talk.client.session:
             await anyio.sleep(LOOK_S)
         return
     raise ClusterUnreachableError(
-        f"{talk.client.name} got no session within {START_S:.0f} s: {talk.trouble or 'nobody leads'}"
+        f"{talk.client.name} got no session within {START_S:.0f} s: {talk.last_error or 'nobody leads'}"
     )
 
 
--- a/brookreach/scale/control_day.py
+++ b/brookreach/scale/control_day.py
@@ -13,8 +13,9 @@
 import anyio
 import msgspec
 
-from brookreach.coordination.client.connection import now_ms
-from brookreach.coordination.client.one_shot import ClusterUnreachableError, OneShotClient
+from brookreach.coordination.client.errors import ClusterUnreachableError
+from brookreach.coordination.client.one_shot import OneShotClient
+from brookreach.coordination.clock import now_ms
 from brookreach.coordination.state_machine.application import Command
 from brookreach.disruption.application import APPLICATION
 from brookreach.disruption.commands import AskDrain, BudgetFor, SetBudgets, TakeBack
@@ -82,7 +83,7 @@
 async def asked(talk: OneShotClient, order: Command, outcome: Outcome) -> int:
     """The record's place in the log; 0 where it was not agreed."""
     try:
-        answer = await talk.ask(APPLICATION.name, order)
+        answer = await talk.propose(APPLICATION.name, order)
     except ClusterUnreachableError as error:
         outcome.failed.append(str(error))
         return 0
--- a/brookreach/scale/hollow_marshal.py
+++ b/brookreach/scale/hollow_marshal.py
@@ -16,8 +16,9 @@
 import anyio.abc
 
 from brookreach.coordination.client.client import Client
-from brookreach.coordination.client.connection import ClientConnection, ReplicaConnection, now_ms
+from brookreach.coordination.client.connection import ClientConnection, ReplicaConnection
 from brookreach.coordination.client.events import ClientEvent, RowsChanged, SessionLost
+from brookreach.coordination.clock import now_ms
 from brookreach.disruption.application import APPLICATION
 from brookreach.disruption.balancer_client import WATCHED, Attendance
 from brookreach.scale.hollow_protocol import BUCKET_MS
@@ -121,5 +122,5 @@
     def up_to_date(self, gone: str, index: int) -> bool:
         """It holds its lease with a keeper other than `gone`, and all that was agreed up to `index`."""
         client = self.client
-        connected = client.joined and client.keeper != gone
-        return connected and client.mirror.settled and client.mirror.index >= index and client.holds(now_ms())
+        connected = client.connected and client.replica != gone
+        return connected and client.cache.up_to_date and client.cache.index >= index and client.holds_lease(now_ms())
--- a/brookreach/scale/hollow_process.py
+++ b/brookreach/scale/hollow_process.py
@@ -17,7 +17,7 @@
 import anyio.abc
 import msgspec
 
-from brookreach.coordination.client.connection import now_ms
+from brookreach.coordination.clock import now_ms
 from brookreach.scale.hollow_marshal import HollowMarshal, Traffic
 from brookreach.scale.hollow_protocol import Begin, Command, End, Figures, Mark, Report, Step
 
--- a/brookreach/scale/storm.py
+++ b/brookreach/scale/storm.py
@@ -14,8 +14,8 @@
 import anyio
 import msgspec
 
-from brookreach.coordination.client.connection import now_ms
-from brookreach.coordination.client.one_shot import ClusterUnreachableError
+from brookreach.coordination.client.errors import ClusterUnreachableError
+from brookreach.coordination.clock import now_ms
 from brookreach.disruption.commands import BudgetFor, SetBudgets
 from brookreach.disruption.tables import MARSHALS
 from brookreach.scale.control_cluster import AT_ONCE, DRIVER, Cluster, Size, open_cluster
--- a/brookreach/simulation/coordination/drill.py
+++ b/brookreach/simulation/coordination/drill.py
@@ -86,7 +86,7 @@
                 machine = party.keeper.machine
                 self.checkers.state(self.world.now, party.name, machine.applied, machine.view)
             elif party.up and isinstance(party, ClientParty) and party.index():
-                mirror = party.client.mirror
+                mirror = party.client.cache
                 self.checkers.mirror(self.world.now, party.name, mirror.index, mirror, party.tables)
 
     def agree(self, due: int) -> None:
--- a/brookreach/simulation/disruption/process_faults.py
+++ b/brookreach/simulation/disruption/process_faults.py
@@ -70,8 +70,8 @@
         town.start(play.marshals)
 
         def back() -> bool:
-            marshals = dict(play.eye.client.mirror.rows(tables.MARSHALS))
-            permit = play.eye.client.mirror.get(tables.PERMITS, name)
+            marshals = dict(play.eye.client.cache.rows(tables.MARSHALS))
+            permit = play.eye.client.cache.get(tables.PERMITS, name)
             return all(one in marshals and marshals[one].standing == "ready" for one in play.marshals) and (
                 permit is None or permit.state not in ("given", "returning")
             )
@@ -105,7 +105,7 @@
         answer = await play.ann.ask("outages", commands.Resume(old, "drill"))
         self.town.look("an old fence lifts nothing", answer is None or not answer.ok, lambda: f"{old}: {answer}")
         await anyio.sleep(0.5)  # meanwhile drains are asked for
-        halt = play.eye.client.mirror.get(tables.HALT, "all")
+        halt = play.eye.client.cache.get(tables.HALT, "all")
         self.town.look("an old fence lifts nothing", halt is not None and halt.fence == new, lambda: f"{new}: {halt}")
         await play.resume()
 
@@ -115,7 +115,7 @@
         if answer is None or not answer.ok:
             return 0
         await self.play.come_to(answer.index)
-        halt = self.play.eye.client.mirror.get(tables.HALT, "all")
+        halt = self.play.eye.client.cache.get(tables.HALT, "all")
         self.town.look(
             "an acknowledged halt stands",
             halt is not None and halt.fence >= answer.index,
--- a/brookreach/simulation/gang_scheduling/process_drill.py
+++ b/brookreach/simulation/gang_scheduling/process_drill.py
@@ -53,7 +53,7 @@
         self.nodes = [f"n{at + 1}" for at in range(nodes)]
         self.town = town = Town(seed, folder, children, report, case, [*self.nodes, "ann", *callers])
         self.ann = Operator("ann", town.group, TABLES, seed)
-        self.mirror = self.ann.client.mirror
+        self.mirror = self.ann.client.cache
         self.members: dict[str, int] = {}
         self.cancelled: set[str] = set()
         self.killed: dict[str, list[float]] = {}
@@ -170,7 +170,7 @@
         """A node with members is to go; the leader falls as it hears so. All have left before the time."""
         town, node = self.town, self.one()
         now = anyio.current_time()
-        notice = commands.RetirementNotice(node, self.mirror.at_ms + AHEAD_MS)
+        notice = commands.RetirementNotice(node, self.mirror.agreed_time_ms + AHEAD_MS)
         if (answer := await self.ann.ask("outages", notice)) is None or not answer.ok:
             return
         self.retired.append(node)
--- a/brookreach/simulation/processes/operators.py
+++ b/brookreach/simulation/processes/operators.py
@@ -13,9 +13,10 @@
 import anyio
 
 from brookreach.coordination.client.client import Client
-from brookreach.coordination.client.connection import ClientConnection, now_ms
+from brookreach.coordination.client.connection import ClientConnection
+from brookreach.coordination.client.errors import TooManyRequestsError
 from brookreach.coordination.client.events import ClientEvent, OutcomeUnknown, ReplyReceived, RowsChanged
-from brookreach.coordination.client.requests import TooManyRequestsError
+from brookreach.coordination.clock import now_ms
 from brookreach.coordination.ports import Timing
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.state_machine.application import Command, Row
@@ -74,9 +75,9 @@
         return max((one.answer.index for one in self.all), default=0)
 
     def say(self, piece: str, order: Command) -> int:
-        seq = self.client.ask(now_ms(), piece, order)
+        seq = self.client.propose(now_ms(), piece, order)
         self.asked[seq] = order
-        self.dial.stir()
+        self.dial.wake()
         return seq
 
     def try_to_say(self, piece: str, order: Command) -> int | None:
--- a/tests/compatibility/text_under_test.py
+++ b/tests/compatibility/text_under_test.py
@@ -11,7 +11,7 @@
 from brookreach import applications as installed_applications
 from brookreach.cli import files as configuration_files
 from brookreach.coordination import ports
-from brookreach.coordination.client.client import Client as GroupClient
+from brookreach.coordination.client.client import Client
 from brookreach.coordination.protocol import frames
 from brookreach.coordination.protocol import messages as message_table
 from brookreach.coordination.server.replica import Replica as Replica
@@ -40,6 +40,23 @@
 stamp_question = sessions.asked
 
 
+class GroupClient(Client):
+    """A client by the names of its methods that these tests use."""
+
+    ask, hear, passed = Client.propose, Client.handle_message, Client.advance_time
+    out, news = Client.take_outgoing, Client.take_events
+
+    @property
+    def joined(self) -> bool:
+        """Whether a connection to a replica stands, with a session."""
+        return self.connected
+
+    @property
+    def keeper(self) -> str:
+        """The replica that it talks to."""
+        return self.replica
+
+
 @dataclass(frozen=True)
 class Application:
     """One application of the state machine: its name on the wire, its orders and the rows of its tables."""
--- a/tests/simulation/test_drill_reports.py
+++ b/tests/simulation/test_drill_reports.py
@@ -10,7 +10,7 @@
 from click.testing import CliRunner
 
 from brookreach.cli.drill import drill
-from brookreach.coordination.client.requests import TooManyRequestsError
+from brookreach.coordination.client.errors import TooManyRequestsError
 from brookreach.simulation.carbon_aware import process_drill
 from brookreach.simulation.processes import operators
 from brookreach.simulation.processes.ports import NoPorts, Ports
