--- a/brookreach/coordination/client/errors.py
+++ b/brookreach/coordination/client/errors.py
@@ -2,8 +2,10 @@
 
 from __future__ import annotations
 
+from brookreach.coordination.errors import CoordinationError
 
-class ClientError(Exception):
+
+class ClientError(CoordinationError):
     """Base class of the errors of a client."""
 
 
--- a/brookreach/coordination/client/watch.py
+++ b/brookreach/coordination/client/watch.py
@@ -13,8 +13,8 @@
 from brookreach.coordination.client.errors import RejectedUpdateError
 from brookreach.coordination.client.events import RowsChanged, RowUnreadable
 from brookreach.coordination.client.leader_discovery import WAIT, Pauses
-from brookreach.coordination.ports import Timing
 from brookreach.coordination.protocol import messages
+from brookreach.coordination.timing import Timing
 
 
 class Watching:
@@ -64,8 +64,8 @@
     def sorry(self, now: float, message: messages.RequestRejected) -> None:
         if self._at is None:
             self._refusals["not asked"] += 1
-        elif message.why == "busy":
-            self._at = now + self._pauses.next_delay_ms(self._lease, message.come_back_ms)
+        elif message.reason == "busy":
+            self._at = now + self._pauses.next_delay_ms(self._lease, message.retry_after_ms)
         else:  # another keeper, or this one once it is of another version, may know what it names
             self._at = now + WAIT * self._lease
 
