--- a/brookreach/coordination/server/process.py
+++ b/brookreach/coordination/server/process.py
@@ -19,7 +19,7 @@
 import anyio.abc
 
 from brookreach.coordination import configuration
-from brookreach.coordination.client.connection import now_ms
+from brookreach.coordination.clock import now_ms
 from brookreach.coordination.errors import ReplicaHaltedError, StorageError
 from brookreach.coordination.protocol.stream import DEFAULT_LIMITS
 from brookreach.coordination.raft.types import Ready
