--- a/brookreach/gang_scheduling/agent/node_log.py
+++ b/brookreach/gang_scheduling/agent/node_log.py
@@ -13,7 +13,7 @@
 from types import TracebackType
 from typing import Self
 
-from brookreach.coordination.client.connection import now_ms
+from brookreach.coordination.clock import now_ms
 from brookreach.gang_scheduling.member_key import MemberKey
 
 FILE_MODE = 0o644
--- a/brookreach/gang_scheduling/agent/process.py
+++ b/brookreach/gang_scheduling/agent/process.py
@@ -14,7 +14,7 @@
 import anyio
 
 from brookreach.coordination import configuration
-from brookreach.coordination.client.connection import now_ms
+from brookreach.coordination.client.errors import SessionNotHeldError, TooManyRequestsError
 from brookreach.coordination.client.events import (
     ClientEvent,
     LeaseRenewed,
@@ -23,8 +23,7 @@
     RowsChanged,
     SessionLost,
 )
-from brookreach.coordination.client.requests import TooManyRequestsError
-from brookreach.coordination.client.session_holder import SessionNotHeldError
+from brookreach.coordination.clock import now_ms
 from brookreach.coordination.protocol.tags import wire_name
 from brookreach.coordination.state_machine.application import Command
 from brookreach.disruption.node_agent import Agent, Facts, Say
@@ -124,7 +123,7 @@
     def _read_tasks(self) -> None:
         at_ms = now_ms()
         self._read_tasks_ms = at_ms + REPEAT_INTERVAL_MS
-        for task in tasks_for_node(self.client.mirror, self.facts.name):
+        for task in tasks_for_node(self.client.cache, self.facts.name):
             self._agent.handle_task(at_ms, task)
         self._flush()
 
@@ -141,11 +140,11 @@
         """Proposes a command; where it is refused, lost or late, the rows still name what it is about."""
         if self.client.session:
             with contextlib.suppress(TooManyRequestsError, SessionNotHeldError):
-                self._proposed[self.client.ask(now_ms(), APPLICATION.name, command)] = command
-            self.dial.stir()
+                self._proposed[self.client.propose(now_ms(), APPLICATION.name, command)] = command
+            self.dial.wake()
 
     def _find_gang(self, name: str) -> GangRow | None:
-        row: GangRow | None = self.client.mirror.get(GANGS, name)
+        row: GangRow | None = self.client.cache.get(GANGS, name)
         return row
 
 
--- a/brookreach/gang_scheduling/agent/workload_simulator.py
+++ b/brookreach/gang_scheduling/agent/workload_simulator.py
@@ -10,7 +10,7 @@
 import itertools
 from collections.abc import Callable
 
-from brookreach.coordination.client.connection import now_ms
+from brookreach.coordination.clock import now_ms
 from brookreach.gang_scheduling.agent.actions import (
     ExtendGrants,
     KillMember,
--- a/brookreach/gang_scheduling/agent_reports.py
+++ b/brookreach/gang_scheduling/agent_reports.py
@@ -46,7 +46,7 @@
         return []
     gangs = release_agent_members(transaction, agent)
     transaction.changes.put(AGENTS, agent, AgentRow(session, incarnation))
-    if transaction.changes.under.count(QUEUE):
+    if transaction.changes.base.count(QUEUE):
         transaction.timers.schedule_round(transaction.now_ms)
     return gangs
 
--- a/brookreach/gang_scheduling/application.py
+++ b/brookreach/gang_scheduling/application.py
@@ -38,7 +38,7 @@
 
     name = "gangs"
     version = 1
-    orders: Any = gang_commands.Commands  # a union of types, as the codec takes it
+    commands: Any = gang_commands.Commands  # a union of types, as the codec takes it
     tables: Mapping[str, type[Row]] = {
         tables.GANGS: tables.GangRow,
         tables.MEMBERS: tables.MemberRow,
--- a/brookreach/gang_scheduling/carbon_placement.py
+++ b/brookreach/gang_scheduling/carbon_placement.py
@@ -55,7 +55,7 @@
     job = _flexible_job(transaction, name, row)
     choice = choose(transaction.changes, transaction.now_ms, job, free_by_zone(transaction))
     updates = take(transaction.changes, transaction.now_ms, job.who, job.room, choice.spans)
-    transaction.changes.take(updates)
+    transaction.changes.apply_updates(updates)
     if not choice.zone:
         return PlacementPreference((), transaction.now_ms)
     return PlacementPreference((choice.zone,), choice.from_ms)
@@ -103,4 +103,4 @@
 def release_reservation(transaction: Transaction, name: str, row: GangRow) -> None:
     """Gives what an ended gang has reserved to others."""
     if row.flexible:
-        transaction.changes.take(release(transaction.changes, reservation_owner(name)))
+        transaction.changes.apply_updates(release(transaction.changes, reservation_owner(name)))
--- a/brookreach/gang_scheduling/transaction.py
+++ b/brookreach/gang_scheduling/transaction.py
@@ -160,7 +160,7 @@
         self.changes.put(RESERVED_CAPACITY, node, ReservedCapacityRow(reserved) if reserved else None)
         if self._capacity is not None:
             self._capacity.allocate(node, capacity)
-        if capacity < 0 and self.changes.under.count(QUEUE):
+        if capacity < 0 and self.changes.base.count(QUEUE):
             self.timers.schedule_round(self.now_ms)
 
     def put_gang(self, name: str, row: GangRow) -> None:
@@ -205,7 +205,7 @@
 
     def effective_updates(self) -> list[RowUpdate]:
         """Returns what the record changes, without rows that were put back as they were."""
-        before = self.changes.under
+        before = self.changes.base
         return [update for update in self.changes.updates() if before.get(update.table, update.key) != update.row]
 
 
--- a/brookreach/simulation/gang_scheduling/cluster_model.py
+++ b/brookreach/simulation/gang_scheduling/cluster_model.py
@@ -156,7 +156,7 @@
         return node
 
     def _put_node(self, name: str, row: NodeRow) -> None:
-        self.state.view.take([RowUpdate(NODES, name, row)])
+        self.state.view.apply_updates([RowUpdate(NODES, name, row)])
 
     def _notify_of_node(self, name: str) -> None:
         self.schedule(self.link_delay_ms(), self.propose_as_operator, ReconcileNode(name))
--- a/brookreach/simulation/gang_scheduling/gang_fleet.py
+++ b/brookreach/simulation/gang_scheduling/gang_fleet.py
@@ -42,7 +42,7 @@
     left_by_ms: dict[str, float] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        self.cache = self.operator.client.mirror
+        self.cache = self.operator.client.cache
 
     def gangs(self) -> dict[str, GangRow]:
         """Returns the gangs' rows by name."""
--- a/brookreach/simulation/gang_scheduling/replicated_state.py
+++ b/brookreach/simulation/gang_scheduling/replicated_state.py
@@ -103,7 +103,7 @@
         return Context(self.log_index, EPOCH_MS + int(self._events.now_ms), client, client_kind, session)
 
     def _take(self, updates: Sequence[RowUpdate]) -> None:
-        self.view.take(updates)
+        self.view.apply_updates(updates)
         touched: dict[str, None] = {}
         for update in updates:
             if update.table == PERMITS:
