--- a/brookreach/applications.py
+++ b/brookreach/applications.py
@@ -1,6 +1,6 @@
-"""Which pieces rest on the ground, in the order in which they may call each other's decisions.
+"""The installed applications, in the order in which they may call each other's decisions.
 
-The keeper, the drills and the clients' mirrors take them from here; `brookreach.coordination` itself names none.
+Replicas, clients' caches and simulations load them from here; `brookreach.coordination` itself names none.
 """
 
 from __future__ import annotations
@@ -14,8 +14,9 @@
     "brookreach.disruption.application",
     "brookreach.gang_scheduling.application",
 )
+"""Modules with an `APPLICATION`. An application may write the tables of those before it."""
 
 
-def load_applications(names: tuple[str, ...] = APPLICATION_MODULES) -> tuple[Application, ...]:
-    """Each module's `APPLICATION`."""
-    return tuple(importlib.import_module(name).APPLICATION for name in names)
+def load_applications(modules: tuple[str, ...] = APPLICATION_MODULES) -> tuple[Application, ...]:
+    """Imports the modules and returns the `APPLICATION` of each, in the same order."""
+    return tuple(importlib.import_module(module).APPLICATION for module in modules)
--- a/brookreach/coordination/client/cache.py
+++ b/brookreach/coordination/client/cache.py
@@ -15,7 +15,7 @@
 from brookreach.coordination.errors import InvalidRowError, RowTooLargeError
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.state_machine.application import Row, RowUpdate
-from brookreach.coordination.state_machine.tables import ROW_DIGEST_BYTES, Tables, row_digest
+from brookreach.coordination.state_machine.tables import ROW_DIGEST_BYTES, StoredRow, Tables, row_digest
 
 MOST_STAGED = 1 << 20  # rows of a whole
 OLDER = 3  # wholes older than what is held, each in answer to a new Watch, until one is believed
@@ -179,7 +179,7 @@
                 made.append(self._tables.decode(one.table, one.key, one.octets))
             except (InvalidRowError, RowTooLargeError) as error:  # what stood there is no longer so
                 self.unread[place], self._traces[place] = str(error), row_digest(one)
-                made.append((None, messages.RowChange(one.table, one.key, None)))
+                made.append(StoredRow(None, messages.RowChange(one.table, one.key, None)))
                 events.append(RowUnreadable(one.table, one.key, str(error)))
         moved = self._tables.write(made)
         ours = sum(self._tables.digest_sums.values()) + sum(self._traces.values())
--- a/brookreach/coordination/client/connection.py
+++ b/brookreach/coordination/client/connection.py
@@ -20,14 +20,9 @@
 from brookreach.coordination.errors import FrameTooLongError, InvalidFrameError
 from brookreach.coordination.protocol import frames as seal
 from brookreach.coordination.protocol import messages
-from brookreach.coordination.protocol.stream import (
-    CONNECTION_ERRORS,
-    DEFAULT_LIMITS,
-    ConnectionLimits,
-    Inbox,
-    SendQueue,
-    read_frames,
-)
+from brookreach.coordination.protocol.inbox import Inbox
+from brookreach.coordination.protocol.limits import DEFAULT_LIMITS, ConnectionLimits
+from brookreach.coordination.protocol.stream import CONNECTION_ERRORS, SendQueue, read_frames
 
 MOST_REST_S = 5.0  # a clock that stands still is looked at again
 
--- a/brookreach/coordination/errors.py
+++ b/brookreach/coordination/errors.py
@@ -5,6 +5,18 @@
 
 from __future__ import annotations
 
+from typing import Literal
+
+InvalidFrameReason = Literal[
+    "too long",
+    "bad seal",
+    "unreadable",
+    "other version",
+    "other group",
+    "not for me",
+    "not its to say",
+]
+
 
 class CoordinationError(Exception):
     """Base class of every error that the coordination package raises."""
@@ -33,10 +45,10 @@
     """A frame or message that is dropped without any effect.
 
     Attributes:
-        name: One of `protocol.messages.INVALID_FRAME_REASONS`, by which such frames are counted.
+        name: The reason, under which such frames are counted.
     """
 
-    def __init__(self, name: str, text: str):
+    def __init__(self, name: InvalidFrameReason, text: str):
         super().__init__(f"{name}: {text}")
         self.name = name
 
--- a/brookreach/coordination/protocol/__init__.py
+++ b/brookreach/coordination/protocol/__init__.py
@@ -1,4 +1,5 @@
-"""What is said between processes: the one table of messages, their bounds, and authenticated frames.
+"""What replicas and clients say to each other: the messages, their bounds, authenticated frames, byte streams.
 
-It owns the bytes. It must never act on a message.
+Modules: `fields` (types with bounds), `raft_messages` and `client_messages` (gathered in `messages`), `frames`,
+`stream`, `inbox`, `limits`, `tags`. Nothing here decides what a message does.
 """
--- a/brookreach/coordination/protocol/stream.py
+++ b/brookreach/coordination/protocol/stream.py
@@ -1,158 +1,125 @@
-"""Frames on one TCP connection: a length of 4 bytes, then what `seal.sealed` made; and what waits around it.
+"""Frames on one byte stream, each after its length; what is to be written waits in a bounded queue.
 
-It owns what is not yet written, and what is heard and not yet handled; both are bounded. It must never look
-into a message, dial or listen.
+This module never looks into a frame, connects or listens.
 """
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import AsyncIterator
-from dataclasses import dataclass
 
 import anyio
 import anyio.abc
-import anyio.lowlevel
 
 from brookreach.coordination.errors import FrameTooLongError
-from brookreach.coordination.protocol import messages
 
-LENGTH_PREFIX_BYTES = 4  # bytes of length
-CONNECTION_ERRORS = (
-    OSError,
-    anyio.EndOfStream,
-    anyio.BrokenResourceError,
-    anyio.ClosedResourceError,
-)  # and TimeoutError
+LENGTH_PREFIX_BYTES = 4
+CONNECTION_ERRORS = (OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
+"""What ends a connection; `OSError` covers `TimeoutError`."""
 
 
-@dataclass(frozen=True, slots=True)
-class ConnectionLimits:
-    """Of one process's sockets. Bytes are those that wait to be written on one connection."""
+async def read_frames(stream: anyio.abc.ByteStream, max_bytes: int) -> AsyncIterator[bytes]:
+    """Yields frames as they are received, until the stream ends.
 
-    max_clients: int = 2048
-    max_unidentified: int = 256  # connections that have not said a frame yet
-    handshake_timeout_s: float = 2.0  # within which they have to
-    connect_timeout_s: float = 1.0
-    send_timeout_s: float = 5.0  # a peer that takes nothing for so long has gone
-    max_client_frame_bytes: int = messages.MAX_COMMAND_BYTES + 4096  # the longest frame of a client
-    max_client_queue_bytes: int = 4 << 20  # past it the client is cut off: it comes again and is told the whole
-    watch_pause_bytes: int = 512 << 10  # past it nothing more of what it watches is put there
-    max_replica_queue_bytes: int = 8 << 20  # past it the oldest is dropped: what it said is said again
-    max_inbox_messages: int = 1024  # messages heard and not yet handled; past it nothing is read
-    reconnect_delay_s: float = 0.05  # the first pause before a connection that failed is made again; it doubles
-    max_reconnect_delay_s: float = 1.0
-
-
-DEFAULT_LIMITS = ConnectionLimits()
-
-
-async def read_frames(stream: anyio.abc.ByteStream, most: int) -> AsyncIterator[bytes]:
-    """Frames as they come, until the stream ends; raises TooLong, and what the stream raises."""
-    held = bytearray()
+    Raises:
+        FrameTooLongError: A length prefix is greater than `max_bytes`.
+        anyio.EndOfStream: The stream ended; other errors of the stream pass through as well.
+    """
+    buffer = bytearray()
     while True:
-        while len(held) >= LENGTH_PREFIX_BYTES:
-            size = int.from_bytes(held[:LENGTH_PREFIX_BYTES], "big")
-            if size > most:
-                raise FrameTooLongError(f"{size} bytes; {most} are allowed")
-            if len(held) < LENGTH_PREFIX_BYTES + size:
+        while len(buffer) >= LENGTH_PREFIX_BYTES:
+            size = int.from_bytes(buffer[:LENGTH_PREFIX_BYTES], "big")
+            if size > max_bytes:
+                raise FrameTooLongError(f"{size} bytes; {max_bytes} are allowed")
+            end = LENGTH_PREFIX_BYTES + size
+            if len(buffer) < end:
                 break
-            frame = bytes(held[LENGTH_PREFIX_BYTES : LENGTH_PREFIX_BYTES + size])
-            del held[: LENGTH_PREFIX_BYTES + size]
+            frame = bytes(buffer[LENGTH_PREFIX_BYTES:end])
+            del buffer[:end]
             yield frame
-        held += await stream.receive()
+        buffer += await stream.receive()
 
 
 class SendQueue:
-    """What waits to be written on one connection, which may not stand yet."""
-
-    def __init__(self, most: int, drops: bool, stalled_s: float):
-        self.most, self.drops, self.stalled_s = most, drops, stalled_s
-        self.waiting: deque[bytes] = deque()
-        self.pending_bytes = self.dropped_frames = 0  # bytes, those being written among them; frames
-        self.aborted = self.finished = False
-        self.wake = anyio.Event()
-        self.sending: anyio.CancelScope | None = None
+    """Frames to be written on one connection, which may not be established yet.
+
+    Attributes:
+        pending_bytes: Bytes that wait, among them those being written.
+        dropped_frames: Frames that were dropped for space.
+        aborted: `abort` was called.
+    """
+
+    def __init__(self, max_bytes: int, drop_oldest: bool, send_timeout_s: float):
+        """Creates an empty queue.
+
+        Args:
+            max_bytes: Bound on `pending_bytes`.
+            drop_oldest: Whether a full queue drops its oldest frames; else it accepts no more.
+            send_timeout_s: Bound on the time in which the stream accepts one write.
+        """
+        self.pending_bytes = 0
+        self.dropped_frames = 0
+        self.aborted = False
+        self._max_bytes = max_bytes
+        self._drop_oldest = drop_oldest
+        self._send_timeout_s = send_timeout_s
+        self._frames: deque[bytes] = deque()
+        self._finished = False
+        self._wakeup = anyio.Event()
+        self._send_scope: anyio.CancelScope | None = None
 
     def put(self, frame: bytes) -> bool:
-        """False where it is full and drops nothing."""
+        """Appends a frame; returns False if the queue is full and drops nothing."""
         octets = len(frame).to_bytes(LENGTH_PREFIX_BYTES, "big") + frame
-        if self.pending_bytes + len(octets) > self.most and not self.drops:
+        if self.pending_bytes + len(octets) > self._max_bytes and not self._drop_oldest:
             return False
-        while self.waiting and self.pending_bytes + len(octets) > self.most:
-            self.pending_bytes -= len(self.waiting.popleft())
+        while self._frames and self.pending_bytes + len(octets) > self._max_bytes:
+            self.pending_bytes -= len(self._frames.popleft())
             self.dropped_frames += 1
-        self.waiting.append(octets)
+        self._frames.append(octets)
         self.pending_bytes += len(octets)
-        self.wake.set()
+        self._wakeup.set()
         return True
 
     async def wait_for_frames(self) -> None:
-        """Until there is something to write."""
-        while not self.waiting:
-            self.wake = anyio.Event()
-            await self.wake.wait()
+        """Waits until there is something to write."""
+        while not self._frames:
+            await self._wait()
+
+    async def _wait(self) -> None:
+        self._wakeup = anyio.Event()
+        await self._wakeup.wait()
 
     async def write(self, stream: anyio.abc.ByteStream) -> None:
-        """Until all is written that came before `finish`; raises one of LOST where the connection ends, is
-        stalled or cut off."""
+        """Writes to the stream until everything is written that came before `finish`.
+
+        Raises:
+            TimeoutError: The peer accepted nothing for `send_timeout_s`, or `abort` was called.
+            anyio.BrokenResourceError: The connection ended; other errors of the stream pass through as well.
+        """
         while not self.aborted:
-            if not self.waiting:
-                if self.finished:
+            if not self._frames:
+                if self._finished:
                     return
-                self.wake = anyio.Event()
-                await self.wake.wait()  # what is put, or an end
+                await self._wait()
                 continue
-            octets = b"".join(self.waiting)
-            self.waiting.clear()
-            with anyio.move_on_after(self.stalled_s) as self.sending:
+            octets = b"".join(self._frames)
+            self._frames.clear()
+            with anyio.move_on_after(self._send_timeout_s) as self._send_scope:
                 await stream.send(octets)
-            if self.sending.cancelled_caught:
+            if self._send_scope.cancelled_caught:
                 break
             self.pending_bytes -= len(octets)
-        raise TimeoutError("cut off" if self.aborted else f"it took nothing for {self.stalled_s} s")
+        raise TimeoutError("cut off" if self.aborted else f"it took nothing for {self._send_timeout_s} s")
 
     def finish(self) -> None:
-        """Nothing more is put."""
-        self.finished = True
-        self.wake.set()
+        """Says that nothing more will be put: `write` returns once the queue is empty."""
+        self._finished = True
+        self._wakeup.set()
 
     def abort(self) -> None:
-        """The writer raises at its next turn, and so ends the connection."""
+        """Makes `write` raise at once, which ends the connection."""
         self.aborted = True
-        self.wake.set()
-        if self.sending is not None:
-            self.sending.cancel()
-
-
-class Inbox:
-    """Messages heard and not yet handled. Keepers' have their own queue: a crowd of clients must not unseat a
-    leader. Where one is full its readers wait, and the kernel pushes back."""
-
-    def __init__(self, most: int):
-        self.most = most
-        self.from_replicas: deque[tuple[str, messages.Body]] = deque()
-        self.from_clients: deque[tuple[str, messages.Body]] = deque()
-        self.arrived, self.room = anyio.Event(), anyio.Event()
-
-    async def put(self, queue: deque[tuple[str, messages.Body]], source: str, body: messages.Body) -> None:
-        while len(queue) >= self.most:
-            await self.room.wait()
-        queue.append((source, body))
-        self.arrived.set()
-
-    def take(self, most: int) -> list[tuple[str, messages.Body]]:
-        """All of the keepers', then so many of the clients'."""
-        told = list(self.from_replicas)
-        self.from_replicas.clear()
-        told += [self.from_clients.popleft() for _ in range(min(most, len(self.from_clients)))]
-        self.room.set()
-        self.room, self.arrived = anyio.Event(), anyio.Event()
-        return told
-
-    async def wait(self, wait_s: float) -> None:
-        if not self.from_replicas and not self.from_clients:
-            with anyio.move_on_after(max(0.0, wait_s)):
-                await self.arrived.wait()
-        else:
-            await anyio.lowlevel.checkpoint()  # readers and writers have their turn
+        self._wakeup.set()
+        if self._send_scope is not None:
+            self._send_scope.cancel()
--- a/brookreach/coordination/server/leader.py
+++ b/brookreach/coordination/server/leader.py
@@ -173,7 +173,7 @@
             pass  # said twice: the first will be answered
         elif ask.application == MEMBERSHIP:
             self._seats(now, source, ask)
-        elif ask.seq == last.seq and last.mark == sessions.request_digest(ask.application, ask.version, ask.body):
+        elif ask.seq == last.seq and last.digest == sessions.request_digest(ask.application, ask.version, ask.body):
             self.say(source, messages.ProposeReply(ask.seq, last.index, last.ok, last.text))
         elif not self._is_next(source, ask):
             self.sorry(source, ask, "out of order", f"question {ask.seq} after {last.seq}")
--- a/brookreach/coordination/server/leader_term.py
+++ b/brookreach/coordination/server/leader_term.py
@@ -10,6 +10,7 @@
 from brookreach.coordination.server.agreed_clock import AgreedTime
 from brookreach.coordination.state_machine import sessions
 from brookreach.coordination.state_machine.machine import StateMachine
+from brookreach.coordination.state_machine.session_leases import SessionLeases
 
 
 class Term:
@@ -20,7 +21,7 @@
         self.term = raft.term
         self.clock = AgreedTime(now, raft.wall_ms_low_median)
         self.open = False
-        self.leases = sessions.SessionLeases(timing)
+        self.leases = SessionLeases(timing)
         self.passing = 0  # where a Passed stands that is not yet applied
         self.again_at = now  # no Passed before
 
--- a/brookreach/coordination/server/process.py
+++ b/brookreach/coordination/server/process.py
@@ -22,7 +22,7 @@
 from brookreach.coordination.client.connection import now_ms
 from brookreach.coordination.errors import ReplicaHaltedError
 from brookreach.coordination.ports import Ready, StorageError
-from brookreach.coordination.protocol.stream import DEFAULT_LIMITS
+from brookreach.coordination.protocol.limits import DEFAULT_LIMITS
 from brookreach.coordination.server.replica import Replica
 from brookreach.coordination.server.transport import Say, Transport, first
 from brookreach.coordination.state_machine.application import Application
--- a/brookreach/coordination/server/transport.py
+++ b/brookreach/coordination/server/transport.py
@@ -20,14 +20,9 @@
 from brookreach.coordination.errors import FrameTooLongError, InvalidFrameError
 from brookreach.coordination.protocol import frames as seal
 from brookreach.coordination.protocol import messages
-from brookreach.coordination.protocol.stream import (
-    CONNECTION_ERRORS,
-    DEFAULT_LIMITS,
-    ConnectionLimits,
-    Inbox,
-    SendQueue,
-    read_frames,
-)
+from brookreach.coordination.protocol.inbox import Inbox
+from brookreach.coordination.protocol.limits import DEFAULT_LIMITS, ConnectionLimits
+from brookreach.coordination.protocol.stream import CONNECTION_ERRORS, SendQueue, read_frames
 from brookreach.coordination.protocol.tags import wire_name
 from brookreach.net.backoff import Backoff
 
--- a/brookreach/coordination/state_machine/__init__.py
+++ b/brookreach/coordination/state_machine/__init__.py
@@ -1,4 +1,8 @@
-"""The replicated state machine: tables of rows, sessions, the applications' decisions, snapshots.
+"""The replicated state machine: applies the log's commands to tables of rows, with the same result on every replica.
 
-The same log gives the same state on every replica: no clock, no chance, no I/O. It must never ask who leads.
+Modules: `application` (the interface that applications implement), `registry` and `executor` (the applications of a
+replica, and calls to them), `tables`, `sessions`, `machine` (all of these put together), `snapshots`, and
+`session_leases` (the leader's own record, not part of the state).
+
+Nothing here does I/O, reads a clock, draws random numbers or knows who leads.
 """
--- a/brookreach/coordination/state_machine/machine.py
+++ b/brookreach/coordination/state_machine/machine.py
@@ -1,263 +1,228 @@
-"""The agreed state: entries of the log go in, in order, and each changes it alike on every keeper.
+"""The replicated state machine: applies log entries in order, each with the same result on every replica.
 
-It owns the order of things: sessions and their answers, the agreed time, what a piece may write, snapshots.
-It must never look at a clock, skip a record that it can't read, or go on after a piece has failed: then
-processes would differ without knowing.
+It owns the sessions with their answers, the agreed time, and snapshots; what commands mean is the applications' part.
+It reads no clock, skips no entry that it can't read, and raises `ReplicaHaltedError` where an application fails:
+otherwise replicas could differ without knowing it.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable, Sequence
-from typing import Any
+from collections.abc import Iterable, Sequence
 
 import msgspec
 
-from brookreach.coordination.errors import InvalidRowError, ReplicaHaltedError, RowTooLargeError
+from brookreach.coordination.errors import CommandRejectedError, ReplicaHaltedError
 from brookreach.coordination.ports import AppliedCommand, LogRecord
-from brookreach.coordination.protocol import messages
+from brookreach.coordination.protocol.messages import Entry, RejectionReason, RowChange
 from brookreach.coordination.state_machine import sessions, snapshots
-from brookreach.coordination.state_machine.application import (
-    Application,
-    CommandRejectedError,
-    Context,
-    RowUpdate,
-    StagedChanges,
-    View,
-)
+from brookreach.coordination.state_machine.application import Application, Command, Context, RowUpdate
+from brookreach.coordination.state_machine.executor import ApplicationExecutor
+from brookreach.coordination.state_machine.registry import ApplicationRegistry, Rejection
 from brookreach.coordination.state_machine.sessions import (
     ANSWERS,
-    APPLICATION,
-    MEMBERSHIP,
     SESSIONS,
     AnswerRow,
+    SessionEnded,
     SessionRow,
     SessionStarted,
     TimePassed,
 )
-from brookreach.coordination.state_machine.tables import Tables
-
-MOST_TEXT = 400  # as words.Text
-Made = list[tuple[Any, messages.RowChange]]
+from brookreach.coordination.state_machine.tables import StoredRow, Tables
 
-_stamped = msgspec.msgpack.Decoder(LogRecord, strict=True)
+_record_decoder = msgspec.msgpack.Decoder(LogRecord, strict=True)
 
 
 class StateMachine:
-    """Pieces stand in the order in which they may write each other's tables: a later one those before it."""
-
-    def __init__(self, pieces: Sequence[Application]):
-        self.applied, self.at_ms = 0, 0
-        self._pieces: dict[str, Application] = {}
-        self._may: dict[str, frozenset[str]] = {}
-        self._readers = {APPLICATION: msgspec.msgpack.Decoder(sessions.COMMANDS, strict=True)}
-        self._versions = {APPLICATION: sessions.VERSION}
-        types = dict(sessions.TABLES)
-        for piece in pieces:
-            if piece.name in (*self._versions, MEMBERSHIP):
-                raise ValueError(f"a second piece {piece.name}")
-            if twice := sorted(set(types) & set(piece.tables)):
-                raise ValueError(f"piece {piece.name}: table {twice[0]} is another's")
-            types.update(piece.tables)
-            self._pieces[piece.name] = piece
-            self._may[piece.name] = frozenset(types) - frozenset(sessions.TABLES)
-            self._readers[piece.name] = msgspec.msgpack.Decoder(piece.commands, strict=True)
-            self._versions[piece.name] = piece.version
-        self.view = Tables(types)
-        self._holders: dict[int, str] = {}  # whose a session is
-        self._due: tuple[int | None] | None = None  # worked out for the state as it stands
-
-    # --- what a keeper asks ---
-
-    def check_proposal(self, piece: str, version: int, body: bytes) -> tuple[messages.RejectionReason, str] | None:
-        """Why a client's record must not get into the log: there it would halt every keeper."""
-        if piece in (APPLICATION, MEMBERSHIP):
-            return "refused", f"records of {piece} are the group's own"
-        if piece not in self._pieces:
-            return "too new", f"no piece {piece}; known are {', '.join(self._pieces)}"
-        if version > self._versions[piece]:
-            return "too new", f"version {version} of piece {piece}; up to {self._versions[piece]} is read"
-        if version < 1:
-            return "refused", f"version {version} of piece {piece}; versions begin at 1"
-        if len(body) > messages.MAX_COMMAND_BYTES - sessions.ENTRY_OVERHEAD_BYTES:
-            return (
-                "refused",
-                f"{len(body)} bytes; {messages.MAX_COMMAND_BYTES - sessions.ENTRY_OVERHEAD_BYTES} are allowed",
-            )
-        try:
-            self._readers[piece].decode(body)
-        except (msgspec.DecodeError, RecursionError) as error:
-            return "refused", f"no order of {piece}: {error}"[:MOST_TEXT]
-        return None
+    """The state at one index of the log, and the commands that change it.
+
+    Attributes:
+        applied: Index of the last applied log entry; 0: none.
+        at_ms: The agreed time, ms since 1970. It never goes back.
+        versions: The greatest version of commands that can be read, by application.
+        view: The tables; the same object for good, also after `restore`.
+    """
+
+    def __init__(self, applications: Sequence[Application]):
+        """Starts with empty tables.
+
+        Args:
+            applications: In the order in which they may write each other's tables: a later one those before it.
+        """
+        registry = ApplicationRegistry(applications)
+        self.applied = 0
+        self.at_ms = 0
+        self.versions = registry.versions
+        self.view = Tables(registry.tables)
+        self._registry = registry
+        self._executor = ApplicationExecutor(registry, self.view)
+        self._session_clients: dict[int, str] = {}
+        self._next_timer_ms: int | None = None
+        self._next_timer_known = False
+
+    def check_proposal(self, application: str, version: int, body: bytes) -> Rejection | None:
+        """Returns why a client's command must not enter the log, where it would halt every replica; None: it may."""
+        return self._registry.check_proposal(application, version, body)
 
     def session(self, client: str) -> int:
+        """Returns the number of a client's session; 0: it has none."""
         row = self.view.get(SESSIONS, client)
         return 0 if row is None else row.session
 
     def holder(self, session: int) -> str:
-        return self._holders.get(session, "")
+        """Returns the name of a session's client; "": the session has ended."""
+        return self._session_clients.get(session, "")
 
     def sessions(self) -> tuple[int, ...]:
-        return tuple(sorted(self._holders))
+        """Returns the numbers of all sessions, the oldest first."""
+        return tuple(sorted(self._session_clients))
 
     def next_timer_ms(self) -> int | None:
-        """When time alone next changes something: a Passed is to be proposed then, one at a time."""
-        if self._due is None:
-            times = []
-            for piece in self._pieces.values():
-                try:
-                    times.append(piece.next_timer_ms(self.view))
-                except Exception as error:
-                    raise ReplicaHaltedError(f"piece {piece.name} failed at place {self.applied}: {error!r}") from error
-            self._due = (min((one for one in times if one is not None), default=None),)
-        return self._due[0]
+        """Returns the agreed time at which a `TimePassed` is to be proposed, one at a time; None: never."""
+        if not self._next_timer_known:
+            self._next_timer_ms = self._executor.next_timer_ms(self.applied)
+            self._next_timer_known = True
+        return self._next_timer_ms
 
     def snapshot(self) -> bytes:
-        return snapshots.encode_snapshot(self.applied, self.at_ms, self._versions, self.view)
+        """Returns the state as bytes, for `restore`."""
+        return snapshots.encode_snapshot(self.applied, self.at_ms, self.versions, self.view)
 
     def restore(self, octets: bytes) -> None:
-        """The state of another keeper, or of this one before it ended. On ReplicaHaltedError nothing has changed."""
-        into = Tables(self.view.types)
-        applied, at_ms = snapshots.decode_snapshot(octets, self._versions, into)
-        for client, row in into.rows(SESSIONS):
-            answer = into.get(ANSWERS, client)
+        """Replaces the state by that of a snapshot, of this replica or another.
+
+        Raises:
+            ReplicaHaltedError: The snapshot can't be read; the state is as it was.
+        """
+        tables = Tables(self.view.types)
+        applied, at_ms = snapshots.decode_snapshot(octets, self.versions, tables)
+        for client, row in tables.rows(SESSIONS):
+            answer = tables.get(ANSWERS, client)
             if answer is None or answer.session != row.session:
-                raise ReplicaHaltedError(f"a snapshot of place {applied}: session {row.session} has no answers")
-        self.view.replace_contents(into)
-        self.applied, self.at_ms, self._due = applied, at_ms, None
-        self._holders = {row.session: client for client, row in into.rows(SESSIONS)}
-
-    # --- the log ---
-
-    def apply(self, entry: messages.Entry) -> AppliedCommand:
-        """`AppliedCommand.index`: where the question took effect; for one asked again, where its first copy did."""
+                raise ReplicaHaltedError(f"a snapshot at index {applied}: session {row.session} has no answers")
+        self.view.replace_contents(tables)
+        self.applied = applied
+        self.at_ms = at_ms
+        self._next_timer_known = False
+        self._session_clients = {row.session: client for client, row in tables.rows(SESSIONS)}
+
+    def apply(self, entry: Entry) -> AppliedCommand:
+        """Applies the next log entry.
+
+        Returns:
+            What came of it. `index` is where the command took effect: for a retry, where its first copy did.
+
+        Raises:
+            ReplicaHaltedError: The replica can't go on; the state is as it was.
+        """
         if entry.index != self.applied + 1:
-            raise ReplicaHaltedError(f"place {entry.index} of the log follows {self.applied}")
-        if not entry.octets:  # a leader's term begins
+            raise ReplicaHaltedError(f"entry {entry.index} of the log follows {self.applied}")
+        if not entry.octets:  # the first entry of a leader's term
             self.applied = entry.index
-            return AppliedCommand(entry.index, 0, 0, True, "", ())
-        try:
-            stamped = _stamped.decode(entry.octets)
-        except (msgspec.DecodeError, RecursionError) as error:
-            raise ReplicaHaltedError(f"record {entry.index} can't be read: {error}") from None
-        at_ms = max(self.at_ms, stamped.at_ms)
-        done = self._taken(entry.index, at_ms, stamped)
-        self.applied, self.at_ms = entry.index, at_ms
-        return done
-
-    def _taken(self, index: int, at_ms: int, stamped: LogRecord) -> AppliedCommand:
-        if stamped.application == MEMBERSHIP:
-            return AppliedCommand(index, 0, 0, True, "", ())
-        order = self._order(index, stamped)
-        if stamped.application == APPLICATION:
-            if stamped.client:  # `misfit` should have kept it out of the log
-                text = f"{APPLICATION} is the group's own"
-                return AppliedCommand(index, stamped.session, stamped.seq, False, text, (), "refused")
-            return self._ground(index, at_ms, order)
-        if not stamped.client and not stamped.session:
-            ok, text, made = self._asked(order, stamped.application, Context(index, at_ms, "", "", 0))
-            return AppliedCommand(index, 0, stamped.seq, ok, text, self._lay(made))
-        return self._of_session(index, at_ms, stamped, order)
-
-    def _order(self, index: int, stamped: LogRecord) -> Any:
-        name, version = stamped.application, stamped.version
-        if name not in self._versions:
-            raise ReplicaHaltedError(f"record {index} is of piece {name!r}; known are {', '.join(self._versions)}")
-        if not 1 <= version <= self._versions[name]:
-            raise ReplicaHaltedError(
-                f"record {index} of piece {name} has version {version}; 1 to {self._versions[name]} "
-                "are read here: another version of the program wrote it"
-            )
+            return _accepted(entry.index)
         try:
-            return self._readers[name].decode(stamped.body)
+            record = _record_decoder.decode(entry.octets)
         except (msgspec.DecodeError, RecursionError) as error:
-            raise ReplicaHaltedError(f"record {index} of piece {name}, version {version}, is none: {error}") from None
-
-    def _of_session(self, index: int, at_ms: int, stamped: LogRecord, order: Any) -> AppliedCommand:
-        """Each question of a session takes effect once, whatever came twice or late."""
-        by, session, seq = stamped.client, stamped.session, stamped.seq
-        row, last = self.view.get(SESSIONS, by), self.view.get(ANSWERS, by)
-        if row is None or row.session != session:
-            text = f"session {session} of {by} has ended"
-            return AppliedCommand(index, session, seq, False, text, (), "no session")
-        mark = sessions.request_digest(stamped.application, stamped.version, stamped.body)
-        if seq and seq == last.seq and mark == last.mark:
-            return AppliedCommand(last.index, session, seq, last.ok, last.text, ())
-        if seq != last.seq + 1:
-            text = f"question {seq} after {last.seq}" if seq != last.seq else f"another question {seq}"
-            return AppliedCommand(index, session, seq, False, text, (), "out of order")
-        ok, text, made = self._asked(order, stamped.application, Context(index, at_ms, by, row.kind, session))
-        answer = RowUpdate(ANSWERS, by, AnswerRow(session, seq, mark, index, ok, text))
-        return AppliedCommand(index, session, seq, ok, text, self._lay([*made, self.view.encode(answer)]))
-
-    def _asked(self, order: Any, name: str, context: Context) -> tuple[bool, str, Made]:
-        piece = self._pieces[name]
+            raise ReplicaHaltedError(f"entry {entry.index} can't be read: {error}") from error
+        at_ms = max(self.at_ms, record.at_ms)
+        result = self._apply_record(entry.index, at_ms, record)
+        self.applied = entry.index
+        self.at_ms = at_ms
+        return result
+
+    def _apply_record(self, index: int, at_ms: int, record: LogRecord) -> AppliedCommand:
+        if record.application == sessions.MEMBERSHIP:
+            return _accepted(index)
+        command = self._registry.decode(index, record)
+        if record.application == sessions.APPLICATION:
+            if record.client:  # `check_proposal` should have kept it out of the log
+                text = f"{sessions.APPLICATION} is the group's own"
+                return _rejected(index, record, "refused", text)
+            return self._apply_session_command(index, at_ms, command)
+        if not record.client and not record.session:
+            context = Context(index, at_ms, client="", client_kind="", session=0)
+            ok, text, rows = self._execute(record, command, context)
+            return AppliedCommand(index, 0, record.seq, ok, text, self._write(rows))
+        return self._apply_request(index, at_ms, record, command)
+
+    def _apply_request(self, index: int, at_ms: int, record: LogRecord, command: Command) -> AppliedCommand:
+        """Applies a client's command, each request of a session once, however often and late its copies come."""
+        session_row = self.view.get(SESSIONS, record.client)
+        if session_row is None or session_row.session != record.session:
+            text = f"session {record.session} of {record.client} has ended"
+            return _rejected(index, record, "no session", text)
+        last = self.view.get(ANSWERS, record.client)
+        digest = sessions.request_digest(record.application, record.version, record.body)
+        if record.seq and record.seq == last.seq and digest == last.digest:
+            return AppliedCommand(last.index, record.session, record.seq, last.ok, last.text, ())
+        if record.seq == last.seq:
+            return _rejected(index, record, "out of order", f"another question {record.seq}")
+        if record.seq != last.seq + 1:
+            return _rejected(index, record, "out of order", f"question {record.seq} after {last.seq}")
+        context = Context(index, at_ms, record.client, session_row.kind, record.session)
+        ok, text, rows = self._execute(record, command, context)
+        answer = AnswerRow(record.session, record.seq, digest, index, ok, text)
+        rows.append(self.view.encode(RowUpdate(ANSWERS, record.client, answer)))
+        return AppliedCommand(index, record.session, record.seq, ok, text, self._write(rows))
+
+    def _execute(self, record: LogRecord, command: Command, context: Context) -> tuple[bool, str, list[StoredRow]]:
+        """Returns whether the application accepted the command, its text otherwise, and the rows to write."""
         try:
-            return True, "", self._made(piece, piece.apply(self.view, order, context))
-        except (CommandRejectedError, RowTooLargeError) as error:
-            return False, str(error)[:MOST_TEXT], []
-        except Exception as error:
-            raise ReplicaHaltedError(f"record {context.index}: piece {name} failed on {order!r}: {error!r}") from error
-
-    def _made(self, piece: Application, puts: Iterable[RowUpdate]) -> Made:
-        puts = list(puts)
-        for one in puts:
-            if one.table not in self._may[piece.name]:
-                raise InvalidRowError(f"piece {piece.name} may not write table {one.table!r}")
-        return [self.view.encode(one) for one in puts]
-
-    def _lay(self, made: Made) -> tuple[messages.RowChange, ...]:
-        changes = self.view.write(made)
-        if changes:
-            self._due = None
-        return tuple(one for one in changes if one.table not in sessions.UNWATCHED_TABLES)
-
-    # --- the ground's own records ---
-
-    def _ground(self, index: int, at_ms: int, order: Any) -> AppliedCommand:
-        if isinstance(order, SessionStarted):
-            return self._began(index, at_ms, order)
-        if isinstance(order, TimePassed):
-            nobody = Context(index, at_ms, "", "", 0)
-            made = self._each(index, lambda piece, view: piece.advance_time(view, nobody))
-            return AppliedCommand(index, 0, 0, True, "", self._lay(made))
-        client = self.holder(order.session)
-        if not client:
-            text = f"session {order.session} has ended"
-            return AppliedCommand(index, order.session, 0, False, text, (), "no session")
-        made = self._over(index, at_ms, client)
-        gone = [self.view.encode(RowUpdate(table, client, None)) for table in sessions.TABLES]
-        del self._holders[order.session]
-        return AppliedCommand(index, order.session, 0, True, order.reason, self._lay(made + gone))
-
-    def _began(self, index: int, at_ms: int, order: SessionStarted) -> AppliedCommand:
-        client, older = order.client, self.session(order.client)
+            return True, "", self._executor.apply(record.application, command, context)
+        except CommandRejectedError as error:
+            return False, str(error), []
+
+    def _apply_session_command(self, index: int, at_ms: int, command: Command) -> AppliedCommand:
+        match command:
+            case SessionStarted():
+                return self._start_session(index, at_ms, command)
+            case SessionEnded():
+                return self._end_session(index, at_ms, command)
+            case TimePassed():
+                context = Context(index, at_ms, client="", client_kind="", session=0)
+                return _accepted(index, changes=self._write(self._executor.advance_time(context)))
+            case _:
+                raise ReplicaHaltedError(f"entry {index}: {command!r} is no session command")
+
+    def _start_session(self, index: int, at_ms: int, command: SessionStarted) -> AppliedCommand:
+        client = command.client
+        older = self.session(client)
         if not older and self.view.count(SESSIONS) >= sessions.MAX_SESSIONS:
             text = f"{sessions.MAX_SESSIONS} sessions, no more are allowed"
             return AppliedCommand(index, 0, 0, False, text, (), "busy")
-        made = self._over(index, at_ms, client) if older else []
-        rows = (
-            RowUpdate(SESSIONS, client, SessionRow(index, order.kind, at_ms)),
-            RowUpdate(ANSWERS, client, AnswerRow(index, 0, "", 0, True, "")),
-        )
-        made += [self.view.encode(one) for one in rows]
-        self._holders.pop(older, None)
-        self._holders[index] = client
-        return AppliedCommand(index, index, 0, True, "", self._lay(made))
-
-    def _over(self, index: int, at_ms: int, client: str) -> Made:
+        rows = self._rows_of_session_end(index, at_ms, client) if older else []
+        rows.append(self.view.encode(RowUpdate(SESSIONS, client, SessionRow(index, command.kind, at_ms))))
+        rows.append(self.view.encode(RowUpdate(ANSWERS, client, AnswerRow(index, 0, "", 0, True, ""))))
+        self._session_clients.pop(older, None)
+        self._session_clients[index] = client
+        return _accepted(index, session=index, changes=self._write(rows))
+
+    def _end_session(self, index: int, at_ms: int, command: SessionEnded) -> AppliedCommand:
+        client = self.holder(command.session)
+        if not client:
+            text = f"session {command.session} has ended"
+            return AppliedCommand(index, command.session, 0, False, text, (), "no session")
+        rows = self._rows_of_session_end(index, at_ms, client)
+        rows += [self.view.encode(RowUpdate(table, client, None)) for table in sessions.TABLES]
+        del self._session_clients[command.session]
+        return _accepted(index, session=command.session, text=command.reason, changes=self._write(rows))
+
+    def _rows_of_session_end(self, index: int, at_ms: int, client: str) -> list[StoredRow]:
         row = self.view.get(SESSIONS, client)
-        context = Context(index, at_ms, client, row.kind, row.session)
-        return self._each(index, lambda piece, view: piece.end_session(view, context))
-
-    def _each(self, index: int, call: Callable[[Application, View], list[RowUpdate]]) -> Made:
-        """Every piece in turn sees what those before it changed; all of it is laid at once."""
-        draft, all_made = StagedChanges(self.view), []
-        for piece in self._pieces.values():
-            try:
-                made = self._made(piece, call(piece, draft))
-            except Exception as error:
-                raise ReplicaHaltedError(f"record {index}: piece {piece.name} failed: {error!r}") from error
-            for row, change in made:
-                draft.put(change.table, change.key, row)
-            all_made += made
-        return all_made
+        return self._executor.end_session(Context(index, at_ms, client, row.kind, row.session))
+
+    def _write(self, rows: Iterable[StoredRow]) -> tuple[RowChange, ...]:
+        """Writes rows; returns the changes that clients may see."""
+        changes = self.view.write(rows)
+        if changes:
+            self._next_timer_known = False
+        return tuple(change for change in changes if change.table not in sessions.UNWATCHED_TABLES)
+
+
+def _accepted(index: int, session: int = 0, text: str = "", changes: tuple[RowChange, ...] = ()) -> AppliedCommand:
+    """Returns the result of a command of the cluster itself."""
+    return AppliedCommand(index, session, 0, True, text, changes)
+
+
+def _rejected(index: int, record: LogRecord, reason: RejectionReason, text: str) -> AppliedCommand:
+    """Returns the result of a record that was not taken as a request."""
+    return AppliedCommand(index, record.session, record.seq, False, text, (), reason)
--- a/brookreach/coordination/state_machine/snapshots.py
+++ b/brookreach/coordination/state_machine/snapshots.py
@@ -1,7 +1,8 @@
-"""The agreed state as octets, and back. The same state gives the same octets on every process.
+"""Snapshots: the replicated state as bytes, and back. Equal states give equal bytes on every replica.
 
-It owns the form, its version and its checksum. It must never give back half a state, nor one whose records a
-later program wrote: what is missing here would be lost with the next snapshot.
+A snapshot is a magic string, a SHA-256 checksum and an envelope with the format's number. It is decoded completely or
+not at all, and never when a later program wrote some of its commands: data that this program can't read would be
+missing from its next snapshot.
 """
 
 from __future__ import annotations
@@ -12,66 +13,106 @@
 import msgspec
 
 from brookreach.coordination.errors import InvalidRowError, ReplicaHaltedError, RowTooLargeError
-from brookreach.coordination.protocol import messages
+from brookreach.coordination.protocol.messages import Count
 from brookreach.coordination.state_machine.tables import Tables
 
 SNAPSHOT_FORMAT = 1
 MAGIC = b"brook\r\n\x01"
-CHECKSUM_BYTES = 32  # bytes of SHA-256
+CHECKSUM_BYTES = 32  # SHA-256
 
 
 class SnapshotBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True, array_like=True):
-    applied: messages.Count
-    at_ms: messages.Count
-    pieces: tuple[tuple[str, messages.Count], ...]  # and the versions of their records
+    """The state.
+
+    Attributes:
+        applied: Index of the last applied log entry.
+        at_ms: The agreed time, ms since 1970.
+        versions: Names of the applications with the versions of their commands, by name.
+        tables: Names of the tables with their keys and encoded rows, by name and key.
+    """
+
+    applied: Count
+    at_ms: Count
+    versions: tuple[tuple[str, Count], ...]
     tables: tuple[tuple[str, tuple[tuple[str, bytes], ...]], ...]
 
 
 class SnapshotEnvelope(msgspec.Struct, frozen=True, array_like=True):
-    """Read first, so that a later form is named as such."""
+    """The format's number, which is decoded first so that a later format is reported as such."""
 
-    form: messages.Count
+    format: Count
     body: msgspec.Raw
 
 
-_out = msgspec.msgpack.Encoder(order="deterministic")
-_forms = msgspec.msgpack.Decoder(SnapshotEnvelope, strict=True)
-_bodies = msgspec.msgpack.Decoder(SnapshotBody, strict=True)
+_encoder = msgspec.msgpack.Encoder(order="deterministic")
+_envelope_decoder = msgspec.msgpack.Decoder(SnapshotEnvelope, strict=True)
+_body_decoder = msgspec.msgpack.Decoder(SnapshotBody, strict=True)
 
 
 def encode_snapshot(applied: int, at_ms: int, versions: Mapping[str, int], tables: Tables) -> bytes:
-    rows = tuple((name, tuple((one.key, one.octets or b"") for one in tables.changes(name))) for name in tables.types)
-    body = _out.encode(SnapshotBody(applied, at_ms, tuple(sorted(versions.items())), rows))
-    octets = _out.encode(SnapshotEnvelope(SNAPSHOT_FORMAT, msgspec.Raw(body)))
+    """Returns the state as bytes."""
+    rows = tuple(
+        (name, tuple((change.key, change.octets or b"") for change in tables.changes(name))) for name in tables.types
+    )
+    body = _encoder.encode(SnapshotBody(applied, at_ms, tuple(sorted(versions.items())), rows))
+    octets = _encoder.encode(SnapshotEnvelope(SNAPSHOT_FORMAT, msgspec.Raw(body)))
     return MAGIC + hashlib.sha256(octets).digest() + octets
 
 
-def decode_snapshot(octets: bytes, versions: Mapping[str, int], into: Tables) -> tuple[int, int]:
-    """Fills `into`, which is empty; hands back `applied` and `at_ms`; raises ReplicaHaltedError."""
-    if octets[: len(MAGIC)] != MAGIC:
-        raise ReplicaHaltedError(f"no snapshot: begins with {octets[: len(MAGIC)]!r}, not {MAGIC!r}")
-    rest = octets[len(MAGIC) + CHECKSUM_BYTES :]
-    if hashlib.sha256(rest).digest() != octets[len(MAGIC) : len(MAGIC) + CHECKSUM_BYTES]:
+def decode_snapshot(octets: bytes, versions: Mapping[str, int], tables: Tables) -> tuple[int, int]:
+    """Fills empty tables from a snapshot.
+
+    Args:
+        octets: What `encode_snapshot` returned, on this replica or another.
+        versions: The versions of commands that this program can read, by application.
+        tables: Empty tables, which are of no use after an error.
+
+    Returns:
+        The index of the last applied entry, and the agreed time.
+
+    Raises:
+        ReplicaHaltedError: The snapshot is damaged or of a later program.
+    """
+    body = _decode_body(_verified(octets))
+    _check_versions(body, versions)
+    for table, rows in body.tables:
+        try:
+            tables.write([tables.decode(table, key, row) for key, row in rows])
+        except (InvalidRowError, RowTooLargeError) as error:
+            raise ReplicaHaltedError(f"a snapshot at index {body.applied}: {error}") from error
+    return body.applied, body.at_ms
+
+
+def _verified(octets: bytes) -> bytes:
+    """Returns what follows the magic string and the checksum."""
+    magic = octets[: len(MAGIC)]
+    if magic != MAGIC:
+        raise ReplicaHaltedError(f"no snapshot: begins with {magic!r}, not {MAGIC!r}")
+    checksum = octets[len(MAGIC) : len(MAGIC) + CHECKSUM_BYTES]
+    content = octets[len(MAGIC) + CHECKSUM_BYTES :]
+    if hashlib.sha256(content).digest() != checksum:
         raise ReplicaHaltedError(f"a snapshot of {len(octets)} bytes is torn or was changed: its checksum differs")
+    return content
+
+
+def _decode_body(content: bytes) -> SnapshotBody:
     try:
-        form = _forms.decode(rest)
-        if form.form != SNAPSHOT_FORMAT:
+        envelope = _envelope_decoder.decode(content)
+        if envelope.format != SNAPSHOT_FORMAT:
             raise ReplicaHaltedError(
-                f"a snapshot of form {form.form}, of another version of the program; {SNAPSHOT_FORMAT} is read"
+                f"a snapshot of format {envelope.format}, of another version of the program; {SNAPSHOT_FORMAT} is read"
             )
-        found = _bodies.decode(form.body)
+        return _body_decoder.decode(envelope.body)
     except (msgspec.DecodeError, RecursionError) as error:
-        raise ReplicaHaltedError(f"a snapshot that can't be read: {error}") from None
-    for name, version in found.pieces:
+        raise ReplicaHaltedError(f"a snapshot that can't be read: {error}") from error
+
+
+def _check_versions(body: SnapshotBody, versions: Mapping[str, int]) -> None:
+    for name, version in body.versions:
         if name not in versions:
-            raise ReplicaHaltedError(f"a snapshot with piece {name!r}; known are {', '.join(sorted(versions))}")
+            raise ReplicaHaltedError(f"a snapshot with application {name!r}; known are {', '.join(sorted(versions))}")
         if version > versions[name]:
             raise ReplicaHaltedError(
-                f"a snapshot with version {version} of piece {name}, of a later program; up to {versions[name]} is read"
+                f"a snapshot with version {version} of application {name}, of a later program; "
+                f"up to {versions[name]} is read"
             )
-    for table, rows in found.tables:
-        try:
-            into.write([into.decode(table, key, row) for key, row in rows])
-        except (InvalidRowError, RowTooLargeError) as error:
-            raise ReplicaHaltedError(f"a snapshot of place {found.applied}: {error}") from None
-    return found.applied, found.at_ms
--- a/brookreach/model/keepers_crowd.py
+++ b/brookreach/model/keepers_crowd.py
@@ -18,7 +18,8 @@
 from brookreach.coordination.ports import PendingSave, Ready, Timing
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.protocol.frames import seal_frame
-from brookreach.coordination.protocol.stream import DEFAULT_LIMITS, LENGTH_PREFIX_BYTES
+from brookreach.coordination.protocol.limits import DEFAULT_LIMITS
+from brookreach.coordination.protocol.stream import LENGTH_PREFIX_BYTES
 from brookreach.coordination.protocol.tags import wire_name
 from brookreach.coordination.server.replica import Replica
 from brookreach.coordination.state_machine import sessions
--- a/brookreach/simulation/coordination/defects.py
+++ b/brookreach/simulation/coordination/defects.py
@@ -65,7 +65,7 @@
         for table in self.view.types:
             if table not in (SESSIONS, ANSWERS):
                 rest.write([rest.decode(one.table, one.key, one.octets) for one in self.view.changes(table)])
-        return snapshots.encode_snapshot(self.applied, self.at_ms, self._versions, rest)
+        return snapshots.encode_snapshot(self.applied, self.at_ms, self.versions, rest)
 
 
 def no_drift(right: Any) -> Any:
