--- a/brookreach/coordination/errors.py
+++ b/brookreach/coordination/errors.py
@@ -55,3 +55,10 @@
 
 class FrameTooLongError(CoordinationError):
     """A length prefix that no frame has: where the next frame begins can't be known, so the connection ends."""
+
+
+class StorageError(CoordinationError):
+    """A replica's storage can't be read or written, is corrupt, or belongs to another replica or cluster.
+
+    A replica must stop on this error: it can no longer keep what it has promised.
+    """
--- a/brookreach/coordination/state_machine/session_leases.py
+++ b/brookreach/coordination/state_machine/session_leases.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Iterable
 
-from brookreach.coordination.ports import Timing
+from brookreach.coordination.timing import Timing
 
 
 class SessionLeases:
--- a/tests/coordination/client_harness.py
+++ b/tests/coordination/client_harness.py
@@ -4,7 +4,6 @@
 from dataclasses import dataclass, field
 
 from brookreach.coordination.client.client import Client
-from brookreach.coordination.ports import Timing
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.protocol.tags import wire_name
 from brookreach.coordination.server.watches import Watches
@@ -17,6 +16,7 @@
     encode_proposal,
 )
 from brookreach.coordination.state_machine.tables import Tables
+from brookreach.coordination.timing import Timing
 from tests.coordination.machine_harness import Log, PotRow
 
 TIMING = Timing(lease_ms=3000.0, drift=0.01)
