--- a/brookreach/coordination/server/process.py
+++ b/brookreach/coordination/server/process.py
@@ -21,7 +21,7 @@
 from brookreach.coordination import configuration
 from brookreach.coordination.clock import now_ms
 from brookreach.coordination.errors import ReplicaHaltedError, StorageError
-from brookreach.coordination.protocol.stream import DEFAULT_LIMITS
+from brookreach.coordination.protocol.limits import DEFAULT_LIMITS
 from brookreach.coordination.raft.types import Ready
 from brookreach.coordination.server.replica import Replica
 from brookreach.coordination.server.transport import Say, Transport, first
