--- a/brookreach/coordination/client/errors.py
+++ b/brookreach/coordination/client/errors.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from brookreach.coordination.client.rejections import Rejection
 from brookreach.coordination.errors import CoordinationError
 
 
@@ -18,7 +19,7 @@
 
 
 class RequestOutOfOrderError(ClientError):
-    """The outcome of a request's sequence number can no longer be known; the session has to be given up."""
+    """The outcome of a request can no longer be known; the session has to be given up."""
 
 
 class ClusterUnreachableError(ClientError):
@@ -26,14 +27,14 @@
 
 
 class RejectedUpdateError(ClientError):
-    """A watch message that does not fit the cached tables and had no effect on them.
+    """A watch message that does not fit the cached tables. It had no effect on them.
 
     Attributes:
-        reason: A short fixed text by which rejections are counted.
+        rejection: The cause, by which such messages are counted.
         needs_new_watch: Whether only the answer to a new WatchRequest can bring the cache up to date.
     """
 
-    def __init__(self, reason: str, needs_new_watch: bool):
-        super().__init__(reason)
-        self.reason = reason
+    def __init__(self, rejection: Rejection, needs_new_watch: bool):
+        super().__init__(rejection.value)
+        self.rejection = rejection
         self.needs_new_watch = needs_new_watch
--- a/brookreach/coordination/client/events.py
+++ b/brookreach/coordination/client/events.py
@@ -1,4 +1,4 @@
-"""What a client of the group tells the part of the program that uses it, in the order it happened."""
+"""Events that a client reports to its owner, in the order in which they happened."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionEstablished:
-    """A connection to the leader stands. `again`: with the session that was there before."""
+    """A connection to the leader stands. `resumed`: with the session that was there before."""
 
     session: int
     replica: str
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRenewed:
-    """The session's lease holds until then, by the client's own clock, unless it is renewed again."""
+    """The session's lease holds until `until_ms` of the client's clock, unless it is renewed before."""
 
     session: int
     until_ms: float
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionLost:
-    """From now on nothing may be done under it. A new one is sought."""
+    """Nothing may be done in the session's name any more. The client seeks a new one."""
 
     session: int
     reason: str
@@ -34,7 +34,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplyReceived:
-    """`ok` False: it changed nothing and never will. `index` is its place in the log; 0: it has none."""
+    """The outcome of a request is known.
+
+    Attributes:
+        seq: The number that `Client.propose` returned.
+        ok: Whether the command was applied; if not, it changed nothing and never will.
+        text: What the application said of it.
+        index: The command's index in the log, or 0 if it never came there.
+    """
 
     seq: int
     ok: bool
@@ -44,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeUnknown:
-    """The question may have had its effect or may yet have it: look at the state before asking anew."""
+    """The request may have been applied, or may still be: read the state before proposing it again."""
 
     seq: int
     reason: str
@@ -52,7 +59,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RowsChanged:
-    """Rows of the mirror that are not as they were, and up to which place of the log it stands now."""
+    """Rows of the cache have changed; it now stands at `index` of the log.
+
+    `is_snapshot`: the change came as a snapshot of all watched tables.
+    """
 
     index: int
     updates: tuple[RowUpdate, ...]
@@ -61,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RowUnreadable:
-    """A row that this program can't read, of a later version: the mirror is without it (`TableCache.unread`)."""
+    """A row that this version of the program can't decode; the cache is without it (`TableCache.unreadable`)."""
 
     table: str
     key: str
@@ -70,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientRejected:
-    """The group won't have this client, or what it watches, as it is; it goes on trying, seldom."""
+    """The cluster rejects this client, or what it watches; the client retries at long intervals."""
 
     reason: str
     text: str
--- a/brookreach/coordination/client/leader_discovery.py
+++ b/brookreach/coordination/client/leader_discovery.py
@@ -1,7 +1,8 @@
-"""Which keeper a client tries next, and when: by turns, at once where one names the leader, with pauses.
+"""Which replica a client tries next, and when.
 
-It must never let many clients that lost the same keeper come back in step, nor two keepers that name each
-other send a client to and fro without a pause.
+Replicas are tried in turn, in a random order of the client's own. A replica that a reply names as the leader is tried
+at once. Attempts back off with jitter, so clients that lost the same replica don't come back in step, and two replicas
+that name each other can't send a client to and fro without a pause.
 """
 
 from __future__ import annotations
@@ -9,62 +10,64 @@
 import random
 from collections.abc import Sequence
 
+from brookreach.coordination.client.backoff import Backoff
 from brookreach.coordination.timing import Timing
 
-MOST_DOUBLED = 12
-WAIT = 10  # leases: a keeper that says to come back later than that is not believed
-
-
-class Pauses:
-    """Each longer than the one before, until something goes well; not the same for two that began at once."""
-
-    def __init__(self, timing: Timing, chance: random.Random):
-        self._first, self._most_told = timing.heartbeat_ms, WAIT * timing.lease_ms
-        self._chance, self._failed = chance, 0
-
-    def reset(self) -> None:
-        self._failed = 0
-
-    def next_delay_ms(self, most_ms: float, told_ms: int = 0) -> float:
-        """No shorter than one was told to wait."""
-        most = min(most_ms, self._first * 2 ** min(self._failed, MOST_DOUBLED))
-        self._failed += 1
-        return min(float(told_ms), self._most_told) + self._chance.uniform(most / 2, most)
-
 
 class LeaderDiscovery:
-    def __init__(self, keepers: Sequence[str], timing: Timing, chance: random.Random):
-        if not keepers:
-            raise ValueError("no keepers are named; at least one is needed")
-        self._keepers = list(dict.fromkeys(keepers))
-        chance.shuffle(self._keepers)
-        self._pauses = Pauses(timing, chance)
-        self._named, self._hops = "", set[str]()  # who is tried next; to whom one went at once
-        self._row = set[str]()  # those tried since the last pause
-        self.next_attempt_ms = 0.0  # when the next is to be tried
-
-    def knows(self, keeper: str) -> bool:
-        return keeper in self._keepers
+    """The order and the times of a client's connection attempts.
+
+    Attributes:
+        next_attempt_ms: When the next replica may be tried.
+    """
+
+    def __init__(self, replicas: Sequence[str], timing: Timing, rng: random.Random):
+        if not replicas:
+            raise ValueError("no replicas are named; at least one is needed")
+        self._replicas = list(dict.fromkeys(replicas))
+        rng.shuffle(self._replicas)
+        self._backoff = Backoff(timing, rng)
+        self._named_leader = ""  # tried next, in place of the one whose turn it is
+        self._followed_hints: set[str] = set()  # tried at once since the last success
+        self._tried: set[str] = set()  # since the last pause
+        self.next_attempt_ms = 0.0
+
+    def knows(self, replica: str) -> bool:
+        """Whether `replica` is a member that the client was configured with."""
+        return replica in self._replicas
 
     def record_success(self) -> None:
-        self._pauses.reset()
-        self._hops.clear()
-
-    def schedule_next(self, now: float, most_ms: float, named: str = "", come_back_ms: int = 0) -> None:
-        """Leaves a keeper. One that is named is tried at once, each a first time since something went well:
-        keepers go on naming a leader that died, so the next one must not wait for the pauses since."""
-        self._named = named
-        if named and named not in self._hops | self._row and not come_back_ms:
-            self._hops.add(named)
+        """Records that a request was answered: the backoff starts again."""
+        self._backoff.reset()
+        self._followed_hints.clear()
+
+    def schedule_next(self, now: float, max_delay_ms: float, leader: str = "", retry_after_ms: int = 0) -> None:
+        """Schedules the attempt after the present one failed.
+
+        A replica named as the leader is tried at once, but only the first time since a success: replicas go on naming
+        a leader that died, so the way to its successor must not wait for the pauses that have grown since.
+
+        Args:
+            now: The client's clock.
+            max_delay_ms: Upper bound of the backoff.
+            leader: The replica named as the leader, or "".
+            retry_after_ms: How long the replica asked to wait.
+        """
+        self._named_leader = leader
+        is_new_hint = leader not in self._followed_hints | self._tried
+        if leader and is_new_hint and not retry_after_ms:
+            self._followed_hints.add(leader)
             self.next_attempt_ms = now
         else:
-            self._row.clear()
-            self.next_attempt_ms = now + self._pauses.next_delay_ms(most_ms, come_back_ms)
+            self._tried.clear()
+            self.next_attempt_ms = now + self._backoff.next_delay_ms(max_delay_ms, retry_after_ms)
 
     def next_replica(self) -> str:
-        named, self._named = self._named, ""
-        if not named:
-            named = self._keepers.pop(0)
-            self._keepers.append(named)
-        self._row.add(named)
-        return named
+        """Returns the replica to try now."""
+        replica = self._named_leader
+        self._named_leader = ""
+        if not replica:
+            replica = self._replicas.pop(0)
+            self._replicas.append(replica)
+        self._tried.add(replica)
+        return replica
--- a/brookreach/coordination/client/requests.py
+++ b/brookreach/coordination/client/requests.py
@@ -1,8 +1,8 @@
-"""A client's questions: a bounded queue, one of them on the wire at a time, each numbered in its session.
+"""The commands that a client proposes: a bounded queue, one of them in flight at a time.
 
-It owns which number a question has on the wire and whether its outcome may be unknown. It must never give a
-question's number to another while a copy of the first may still take effect, nor carry one that was sent into
-another session.
+Each request has a sequence number of its session, under which it is sent again until it is answered, so the cluster
+applies it at most once. A number is never given to another request while a copy of the first may still take effect,
+and a request that was sent in one session is never carried into the next.
 """
 
 from __future__ import annotations
@@ -13,105 +13,148 @@
 
 import msgspec
 
+from brookreach.coordination.client.backoff import Backoff
 from brookreach.coordination.client.errors import RequestOutOfOrderError, TooManyRequestsError
 from brookreach.coordination.client.events import OutcomeUnknown, ReplyReceived
-from brookreach.coordination.client.leader_discovery import Pauses
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.state_machine.application import Command
 from brookreach.coordination.state_machine.sessions import ENTRY_OVERHEAD_BYTES
 from brookreach.coordination.timing import Timing
 
+RECORD_VERSION = 1  # of the commands that this client encodes
 MAX_PENDING_REQUESTS = 64
+MAX_ENCODED_COMMAND_BYTES = messages.MAX_COMMAND_BYTES - ENTRY_OVERHEAD_BYTES
+FIRST_SEQUENCE_NUMBER = 1
+REJECTIONS_TO_BELIEVE = 2
 
-_out = msgspec.msgpack.Encoder(order="deterministic")
+_encoder = msgspec.msgpack.Encoder(order="deterministic")
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    seq: int  # as its asker knows it
-    piece: str
-    version: int
+    """A command that waits for its reply.
+
+    Attributes:
+        request_id: The number by which the caller knows it.
+        in_flight: It was sent on the present connection and is not answered.
+        maybe_applied: It was sent before, so a copy that nobody answered may still take effect.
+        rejections: How often it was rejected on the present connection.
+    """
+
+    request_id: int
+    application: str
     body: bytes
-    flying: bool = False  # sent on this connection, not answered
-    doubtful: bool = False  # sent on an earlier one, with no answer
-    refusals: int = 0
+    in_flight: bool = False
+    maybe_applied: bool = False
+    rejections: int = 0
 
 
 class RequestQueue:
-    def __init__(self, timing: Timing, chance: random.Random, most: int = MAX_PENDING_REQUESTS):
-        self._most, self._again, self._pauses = most, timing.lease_ms, Pauses(timing, chance)
-        self._queue: deque[PendingRequest] = deque()
-        self._count = 0
-        self._wire = 1  # the number of the first in the queue, in its session
-        self._at: float | None = None  # when the first is sent again, or at last; None: at once
-
-    def add(self, piece: str, version: int, order: Command) -> int:
-        body = _out.encode(order)
-        if len(body) > messages.MAX_COMMAND_BYTES - ENTRY_OVERHEAD_BYTES:
-            raise ValueError(
-                f"an order of {len(body)} bytes; {messages.MAX_COMMAND_BYTES - ENTRY_OVERHEAD_BYTES} are allowed"
-            )
-        if len(self._queue) >= self._most:
-            raise TooManyRequestsError(f"{len(self._queue)} questions wait for the group; {self._most} are allowed")
-        self._count += 1
-        self._queue.append(PendingRequest(self._count, piece, version, body))
-        return self._count
-
-    def wake_ms(self) -> float | None:
-        return self._at if self._queue else None
-
-    def fly(self, now: float, session: int) -> messages.ProposeRequest | None:
-        """What is to be sent now. One without an answer for a lease is sent again under its number."""
-        if not self._queue or (self._at is not None and now < self._at):
+    """The pending requests of one client, in the order in which they were proposed."""
+
+    def __init__(self, timing: Timing, rng: random.Random, max_pending: int = MAX_PENDING_REQUESTS):
+        self._max_pending = max_pending
+        self._resend_after_ms = timing.lease_ms
+        self._backoff = Backoff(timing, rng)
+        self._pending: deque[PendingRequest] = deque()
+        self._last_request_id = 0
+        self._sequence_number = FIRST_SEQUENCE_NUMBER  # of the first pending request, in its session
+        self._next_send_ms: float | None = None  # None: at once
+
+    def add(self, application: str, command: Command) -> int:
+        """Queues a command and returns its request ID.
+
+        Raises:
+            ValueError: The encoded command is longer than an entry of the log may be.
+            TooManyRequestsError: The queue is full.
+        """
+        body = _encoder.encode(command)
+        if len(body) > MAX_ENCODED_COMMAND_BYTES:
+            raise ValueError(f"a command of {len(body)} bytes; {MAX_ENCODED_COMMAND_BYTES} are allowed")
+        if len(self._pending) >= self._max_pending:
+            raise TooManyRequestsError(f"{len(self._pending)} requests are pending; {self._max_pending} are allowed")
+        self._last_request_id += 1
+        self._pending.append(PendingRequest(self._last_request_id, application, body))
+        return self._last_request_id
+
+    def next_wakeup_ms(self) -> float | None:
+        """Returns when the first request is sent again; None without one."""
+        return self._next_send_ms if self._pending else None
+
+    def take_request(self, now: float, session: int) -> messages.ProposeRequest | None:
+        """Returns the request to be sent now, if any. One without a reply for a lease is sent again."""
+        is_due = self._next_send_ms is None or now >= self._next_send_ms
+        if not self._pending or not is_due:
             return None
-        one = self._queue[0]
-        one.doubtful = one.doubtful or one.flying
-        one.flying, self._at = True, now + self._again
-        return messages.ProposeRequest(session, self._wire, one.piece, one.version, one.body)
-
-    def flies(self, seq: int) -> bool:
-        return bool(self._queue) and self._queue[0].flying and seq == self._wire
-
-    def done(self, message: messages.ProposeReply) -> ReplyReceived:
-        self._wire += 1
-        return self._answered(message.ok, message.text, message.index)
-
-    def sorry(self, now: float, message: messages.RequestRejected) -> ReplyReceived | None:
-        """None: it is asked again. That it was refused before it got into the log is believed at the second
-        time: the first may be about another question that once had the number."""
-        one = self._queue[0]
+        request = self._pending[0]
+        request.maybe_applied = request.maybe_applied or request.in_flight
+        request.in_flight = True
+        self._next_send_ms = now + self._resend_after_ms
+        return messages.ProposeRequest(
+            session, self._sequence_number, request.application, RECORD_VERSION, request.body
+        )
+
+    def is_in_flight(self, sequence_number: int) -> bool:
+        """Whether the request of that number waits for its reply."""
+        return bool(self._pending) and self._pending[0].in_flight and sequence_number == self._sequence_number
+
+    def complete(self, message: messages.ProposeReply) -> ReplyReceived:
+        """Takes the reply to the request in flight."""
+        self._sequence_number += 1
+        return self._finish_first(message.ok, message.text, message.index)
+
+    def reject(self, now: float, message: messages.RequestRejected) -> ReplyReceived | None:
+        """Takes the rejection of the request in flight.
+
+        That a request was rejected before it got into the log is believed the second time: the first rejection may be
+        about another request that once had the number.
+
+        Returns:
+            The outcome, or None where the request is sent again.
+
+        Raises:
+            RequestOutOfOrderError: An earlier copy of the request may have been applied.
+        """
+        request = self._pending[0]
         if message.reason == "busy":
-            one.flying = False
-            self._at = now + self._pauses.next_delay_ms(self._again, message.retry_after_ms)
+            request.in_flight = False
+            self._next_send_ms = now + self._backoff.next_delay_ms(self._resend_after_ms, message.retry_after_ms)
             return None
-        if message.reason not in ("refused", "too new") or one.doubtful:
+        if message.reason not in ("refused", "too new") or request.maybe_applied:
             raise RequestOutOfOrderError(f"{message.reason}: {message.text}")
-        one.refusals += 1
-        if one.refusals < 2:
-            one.flying, self._at = False, None
+        request.rejections += 1
+        if request.rejections < REJECTIONS_TO_BELIEVE:
+            request.in_flight = False
+            self._next_send_ms = None
             return None
-        return self._answered(False, message.text, 0)  # the next question has its number
-
-    def _answered(self, ok: bool, text: str, index: int) -> ReplyReceived:
-        self._at = None
-        self._pauses.reset()
-        return ReplyReceived(self._queue.popleft().seq, ok, text, index)
-
-    def dropped(self) -> None:
-        """The connection is gone. What was on it is asked again on the next, under its number."""
-        self._at = None
-        if self._queue and self._queue[0].flying:
-            one = self._queue[0]
-            one.flying, one.doubtful, one.refusals = False, True, 0
-
-    def over(self, why: str) -> list[ReplyReceived | OutcomeUnknown]:
-        """What becomes of all that were asked in a session that has ended: none is carried on."""
-        left = list(self._queue)
-        self._queue.clear()
-        self._wire, self._at = 1, None
-        return [
-            OutcomeUnknown(one.seq, why)
-            if one.flying or one.doubtful
-            else ReplyReceived(one.seq, False, f"not asked: {why}", 0)
-            for one in left
-        ]
+        return self._finish_first(False, message.text, 0)  # the next request takes over its number
+
+    def _finish_first(self, ok: bool, text: str, index: int) -> ReplyReceived:
+        self._next_send_ms = None
+        self._backoff.reset()
+        request = self._pending.popleft()
+        return ReplyReceived(request.request_id, ok, text, index)
+
+    def connection_lost(self) -> None:
+        """Prepares to send the request in flight again, under its number, on the next connection."""
+        self._next_send_ms = None
+        if not self._pending or not self._pending[0].in_flight:
+            return
+        request = self._pending[0]
+        request.in_flight = False
+        request.maybe_applied = True
+        request.rejections = 0
+
+    def end_session(self, reason: str) -> list[ReplyReceived | OutcomeUnknown]:
+        """Drops all requests, whose session has ended, and returns their outcomes."""
+        pending = list(self._pending)
+        self._pending.clear()
+        self._sequence_number = FIRST_SEQUENCE_NUMBER
+        self._next_send_ms = None
+        return [_outcome_at_end(request, reason) for request in pending]
+
+
+def _outcome_at_end(request: PendingRequest, reason: str) -> ReplyReceived | OutcomeUnknown:
+    if request.in_flight or request.maybe_applied:
+        return OutcomeUnknown(request.request_id, reason)
+    return ReplyReceived(request.request_id, False, f"not asked: {reason}", 0)
--- a/brookreach/scale/hollow_marshal.py
+++ b/brookreach/scale/hollow_marshal.py
@@ -16,7 +16,7 @@
 import anyio.abc
 
 from brookreach.coordination.client.client import Client
-from brookreach.coordination.client.connection import ClientConnection, ReplicaConnection
+from brookreach.coordination.client.connection import ClientConnection
 from brookreach.coordination.client.events import ClientEvent, RowsChanged, SessionLost
 from brookreach.coordination.clock import now_ms
 from brookreach.disruption.application import APPLICATION
@@ -64,11 +64,9 @@
 
     traffic: Traffic
 
-    async def _write(self, call: ReplicaConnection, stream: anyio.abc.ByteStream, scope: anyio.CancelScope) -> None:
-        await super()._write(call, CountedStream(stream, self.traffic), scope)
-
-    async def _read(self, call: ReplicaConnection, stream: anyio.abc.ByteStream) -> None:
-        await super()._read(call, CountedStream(stream, self.traffic))
+    def wrap_stream(self, stream: anyio.abc.ByteStream) -> anyio.abc.ByteStream:
+        """The stream with its bytes counted."""
+        return CountedStream(stream, self.traffic)
 
 
 def parts(name: str, zone: str, numbers: Mapping[str, int]) -> SimpleNamespace:
