--- a/brookreach/cli/fleet.py
+++ b/brookreach/cli/fleet.py
@@ -73,7 +73,7 @@
 
     def each() -> None:
         told = config.read(file)
-        names = tuple(one.name for one in told.keeper)
+        names = tuple(one.name for one in told.replicas)
         for name in keepers or names:
             disk = open_storage(file, told, name)
             begin(disk, names)
--- a/brookreach/cli/fleet_ask.py
+++ b/brookreach/cli/fleet_ask.py
@@ -136,7 +136,7 @@
 
     assert context.parent is not None
     told = said(partial(configuration.read, context.parent.params["file"]))
-    rows = tuple(BudgetFor(one.kind, one.scope, one.most_out, one.least_ready) for one in told.budget)
+    rows = tuple(BudgetFor(one.kind, one.scope, one.most_out, one.least_ready) for one in told.budgets)
     context.obj(SetBudgets(rows), lambda view: f"{len(rows)} budgets")
 
 
--- a/brookreach/coordination/configuration.py
+++ b/brookreach/coordination/configuration.py
@@ -1,8 +1,8 @@
-"""The file that names a group: its keepers, its key, its times and the operators' budgets. TOML into checked
-types.
+"""The configuration file of a cluster and the file of its key: TOML into checked types.
 
-It owns what may stand in that file and in the key's. It must never open a socket or a keeper's disk. Whoever
-can read the key can speak as any keeper or client, so a key file that others may read is refused.
+The file names the cluster, its replicas, its key, its timing and the operators' budgets. Whoever can read the key can
+speak as any replica or client, so a key file that others may read is rejected. Keys of the file keep their names in
+every version; where a field is called otherwise here, it bears the key as its encoded name.
 """
 
 from __future__ import annotations
@@ -10,6 +10,7 @@
 import ipaddress
 import os
 import stat
+from collections.abc import Hashable, Iterator, Sequence
 from pathlib import Path
 from typing import Annotated, Any, Literal
 
@@ -20,162 +21,188 @@
 from brookreach.files import BadFile, checked, read_bounded, read_toml
 from brookreach.net.stream import address
 
-LEAST_KEY, MOST_KEY = 32, 4096  # bytes
-MOST_DRIFT = 0.2
-SCOPE = r"^(all|zone:[A-Za-z0-9._-]+|build:[0-9]+|service:[A-Za-z0-9._-]+)\Z"
+MIN_KEY_BYTES = 32
+MAX_KEY_BYTES = 4096
+KEY_FILE_MODE = 0o600
+OTHERS_ACCESS = 0o077  # permission bits that a key file must not have
+MAX_DRIFT = 0.2
+MIN_HEARTBEATS_PER_ELECTION = 3.0
+MIN_ELECTIONS_PER_LEASE = 3.0
+SCOPE_PATTERN = r"^(all|zone:[A-Za-z0-9._-]+|build:[0-9]+|service:[A-Za-z0-9._-]+)\Z"
 
-Ms = Annotated[float, msgspec.Meta(ge=1.0, le=3_600_000.0)]
-Many = Annotated[int, msgspec.Meta(ge=1, le=1 << 20)]
-Places = Annotated[int, msgspec.Meta(ge=0, le=1 << 20)]
+Milliseconds = Annotated[float, msgspec.Meta(ge=1.0, le=3_600_000.0)]
+PositiveCount = Annotated[int, msgspec.Meta(ge=1, le=1 << 20)]
+Count = Annotated[int, msgspec.Meta(ge=0, le=1 << 20)]
 
 
-class Part(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class Section(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """One table of the file; a key that it does not know is an error."""
 
 
-class GroupPart(Part, frozen=True):
-    """[group]: its name, and where its key stands (beside this file, unless the path is absolute)."""
+class GroupSection(Section, frozen=True):
+    """[group]: the cluster's name and key file.
+
+    Attributes:
+        name: Every frame bears it, so that two clusters can't mix.
+        key: Path of the key file, relative to this file's folder.
+        beyond_loopback: Whether replicas may listen on other addresses. Frames are authenticated, not encrypted.
+    """
 
     name: messages.Name
     key: str
-    beyond_loopback: bool = False  # keepers may listen elsewhere; what is said is sealed, not hidden
+    beyond_loopback: bool = False
 
 
-class TimingPart(Part, frozen=True):
-    """[timing]: `seams.Timing`, in which each figure is explained."""
+class TimingSection(Section, frozen=True):
+    """[timing]: see `Timing`, which explains each value."""
 
-    beat_ms: Ms = 50.0
-    election_ms: Ms = 300.0
-    lease_ms: Ms = 3000.0
-    drift: Annotated[float, msgspec.Meta(ge=0.0, le=MOST_DRIFT)] = 0.01
-    most_queued: Many = 4096
-    cut_entries: Many = 10_000
+    heartbeat_ms: Milliseconds = msgspec.field(name="beat_ms", default=50.0)
+    election_timeout_ms: Milliseconds = msgspec.field(name="election_ms", default=300.0)
+    lease_ms: Milliseconds = 3000.0
+    drift: Annotated[float, msgspec.Meta(ge=0.0, le=MAX_DRIFT)] = 0.01
+    max_pending_proposals: PositiveCount = msgspec.field(name="most_queued", default=4096)
+    snapshot_interval_entries: PositiveCount = msgspec.field(name="cut_entries", default=10_000)
 
 
-class KeeperPart(Part, frozen=True):
-    """[[keeper]]: one that may hold a seat, where it listens, and the folder of its disk."""
+class ReplicaSection(Section, frozen=True):
+    """[[keeper]]: a replica that may be a member, the address it listens on, and the folder of its storage."""
 
     name: messages.Name
     listen: str
     disk: str
 
 
-class BudgetPart(Part, frozen=True):
-    """[[budget]]: how many nodes or marshals of a scope may be out at once, and how many must be ready."""
+class BudgetSection(Section, frozen=True):
+    """[[budget]]: how many targets of a scope may be out at once, and how many must be ready."""
 
-    scope: Annotated[str, msgspec.Meta(pattern=SCOPE, max_length=80)]
+    scope: Annotated[str, msgspec.Meta(pattern=SCOPE_PATTERN, max_length=80)]
     kind: Literal["node", "marshal"]
-    most_out: Places
-    least_ready: Places
+    most_out: Count
+    least_ready: Count
 
 
-class ClusterConfiguration(Part, frozen=True):
+class ClusterConfiguration(Section, frozen=True):
     """The whole file."""
 
-    group: GroupPart
-    keeper: Annotated[tuple[KeeperPart, ...], msgspec.Meta(min_length=1, max_length=messages.MAX_MEMBERS)]
-    timing: TimingPart = TimingPart()
-    budget: tuple[BudgetPart, ...] = ()
+    group: GroupSection
+    replicas: Annotated[tuple[ReplicaSection, ...], msgspec.Meta(min_length=1, max_length=messages.MAX_MEMBERS)] = (
+        msgspec.field(name="keeper")
+    )
+    timing: TimingSection = TimingSection()
+    budgets: tuple[BudgetSection, ...] = msgspec.field(name="budget", default=())
 
     def addresses(self) -> dict[str, tuple[str, int]]:
-        return {one.name: address(one.listen) for one in self.keeper}
+        """Returns host and port of each replica by its name."""
+        return {replica.name: address(replica.listen) for replica in self.replicas}
 
     def times(self) -> Timing:
-        """The table [timing] as the processes use it."""
-        return Timing(
-            heartbeat_ms=self.timing.beat_ms,
-            election_timeout_ms=self.timing.election_ms,
-            lease_ms=self.timing.lease_ms,
-            drift=self.timing.drift,
-            max_pending_proposals=self.timing.most_queued,
-            snapshot_interval_entries=self.timing.cut_entries,
-        )
+        """Returns the table [timing] as replicas and clients use it."""
+        return Timing(**msgspec.structs.asdict(self.timing))
+
+
+def read(path: Path) -> ClusterConfiguration:
+    """Reads and checks the file; raises BadFile with all that is wrong in it."""
+    return read_values(path, read_toml(path))
 
 
 def read_values(path: Path, values: dict[str, Any]) -> ClusterConfiguration:
-    """A file's values, checked; raises BadFile with all that is wrong between keys."""
-    told = checked(path, values, ClusterConfiguration)
-    errors = _keepers(path, told) + _times(path, told.timing)
-    seen = [(one.scope, one.kind) for one in told.budget]
-    errors += [
-        f"{path}: budget[{at}]: {one[0]!r} stands twice for kind {one[1]!r}"
-        for at, one in enumerate(seen)
-        if seen.index(one) != at
+    """Checks the values of a file; raises BadFile with all that is wrong in them."""
+    configuration = checked(path, values, ClusterConfiguration)
+    errors = [
+        *_duplicate_replicas(configuration.replicas),
+        *_unusable_addresses(configuration),
+        *_timing_conflicts(configuration.timing),
+        *_duplicate_budgets(configuration.budgets),
     ]
     if errors:
-        raise BadFile(errors)
-    return told
-
-
-def _keepers(path: Path, told: ClusterConfiguration) -> list[str]:
-    errors: list[str] = []
-    for field in ("name", "listen", "disk"):
-        stand = [getattr(one, field) for one in told.keeper]
-        errors += [
-            f"{path}: keeper[{at}].{field}: {one!r} stands twice"
-            for at, one in enumerate(stand)
-            if stand.index(one) != at
-        ]
-    for at, one in enumerate(told.keeper):
+        raise BadFile([f"{path}: {error}" for error in errors])
+    return configuration
+
+
+def read_key(path: Path, configuration: ClusterConfiguration) -> bytes:
+    """Reads the cluster's key; `path` is the configuration's, beside which the key file stands.
+
+    Raises:
+        BadFile: Others may read the key file, or it holds no key.
+    """
+    key_path = path.parent / configuration.group.key
+    key = read_bounded(key_path, MAX_KEY_BYTES)
+    mode = stat.S_IMODE(key_path.stat().st_mode)
+    if mode & OTHERS_ACCESS:
+        raise BadFile([f"{key_path}: mode {mode:o}; others than its owner must have no access: chmod 600"])
+    if len(key) < MIN_KEY_BYTES:
+        allowed = f"{MIN_KEY_BYTES} random bytes or more are allowed"
+        raise BadFile([f"{key_path}: {len(key)} bytes; {allowed}: brookreach fleet key PATH"])
+    return key
+
+
+def make_key(path: Path) -> None:
+    """Writes a new random key to `path`, where no file may stand yet.
+
+    Raises:
+        BadFile: The file exists or can't be written.
+    """
+    try:
+        descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, KEY_FILE_MODE)
+        with os.fdopen(descriptor, "wb") as file:
+            file.write(os.urandom(MIN_KEY_BYTES))
+    except OSError as error:
+        raise BadFile([f"{path}: can't be made: {error.strerror}"]) from None
+
+
+def _duplicates(values: Sequence[Hashable]) -> Iterator[int]:
+    """Yields the positions of values that stand at an earlier position as well."""
+    return (position for position, value in enumerate(values) if values.index(value) != position)
+
+
+def _duplicate_replicas(replicas: Sequence[ReplicaSection]) -> Iterator[str]:
+    columns = {
+        "name": [replica.name for replica in replicas],
+        "listen": [replica.listen for replica in replicas],
+        "disk": [replica.disk for replica in replicas],
+    }
+    for key, values in columns.items():
+        for position in _duplicates(values):
+            yield f"keeper[{position}].{key}: {values[position]!r} stands twice"
+
+
+def _unusable_addresses(configuration: ClusterConfiguration) -> Iterator[str]:
+    for position, replica in enumerate(configuration.replicas):
         try:
-            host, _ = address(one.listen)
+            host, _ = address(replica.listen)
         except ValueError as error:
-            errors.append(f"{path}: keeper[{at}].listen: {error}")
+            yield f"keeper[{position}].listen: {error}"
             continue
-        if not told.group.beyond_loopback and not _loopback(host):
-            errors.append(
-                f"{path}: keeper[{at}].listen: {one.listen!r} is not on loopback; "
+        if not configuration.group.beyond_loopback and not _is_loopback(host):
+            yield (
+                f"keeper[{position}].listen: {replica.listen!r} is not on loopback; "
                 "group.beyond_loopback = true allows it"
             )
-    return errors
 
 
-def _loopback(host: str) -> bool:
+def _is_loopback(host: str) -> bool:
     try:
         return ipaddress.ip_address(host.strip("[]")).is_loopback
     except ValueError:
         return host == "localhost"
 
 
-def _times(path: Path, timing: TimingPart) -> list[str]:
-    """What elections and leases need of each other to come out right."""
-    errors = []
-    if timing.election_ms < 3.0 * timing.beat_ms:
-        errors.append(
-            f"{path}: timing.election_ms: {timing.election_ms}; 3 x beat_ms ({timing.beat_ms}) or "
+def _timing_conflicts(timing: TimingSection) -> Iterator[str]:
+    """Yields what would let leaders lose elections, or clients their leases, without a fault."""
+    if timing.election_timeout_ms < MIN_HEARTBEATS_PER_ELECTION * timing.heartbeat_ms:
+        yield (
+            f"timing.election_ms: {timing.election_timeout_ms}; 3 x beat_ms ({timing.heartbeat_ms}) or "
             "more is allowed, or followers stand while their leader lives"
         )
-    if timing.lease_ms < 3.0 * timing.election_ms:
-        errors.append(
-            f"{path}: timing.lease_ms: {timing.lease_ms}; 3 x election_ms ({timing.election_ms}) "
+    if timing.lease_ms < MIN_ELECTIONS_PER_LEASE * timing.election_timeout_ms:
+        yield (
+            f"timing.lease_ms: {timing.lease_ms}; 3 x election_ms ({timing.election_timeout_ms}) "
             "or more is allowed, or leases end at each election"
         )
-    return errors
-
-
-def read(path: Path) -> ClusterConfiguration:
-    """Raises BadFile."""
-    return read_values(path, read_toml(path))
-
-
-def read_key(path: Path, told: ClusterConfiguration) -> bytes:
-    """The group's key; raises BadFile where others may read it, or it is none."""
-    file = path.parent / told.group.key
-    octets = read_bounded(file, MOST_KEY)
-    mode = stat.S_IMODE(file.stat().st_mode)
-    if mode & 0o077:
-        raise BadFile([f"{file}: mode {mode:o}; others than its owner must have no access: chmod 600"])
-    if len(octets) < LEAST_KEY:
-        raise BadFile(
-            [f"{file}: {len(octets)} bytes; {LEAST_KEY} random bytes or more are allowed: brookreach fleet key PATH"]
-        )
-    return octets
 
 
-def make_key(path: Path) -> None:
-    """A new key where no file stands yet; raises BadFile."""
-    try:
-        with os.fdopen(os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600), "wb") as file:
-            file.write(os.urandom(LEAST_KEY))
-    except OSError as error:
-        raise BadFile([f"{path}: can't be made: {error.strerror}"]) from None
+def _duplicate_budgets(budgets: Sequence[BudgetSection]) -> Iterator[str]:
+    scopes = [(budget.scope, budget.kind) for budget in budgets]
+    for position in _duplicates(scopes):
+        scope, kind = scopes[position]
+        yield f"budget[{position}]: {scope!r} stands twice for kind {kind!r}"
--- a/brookreach/coordination/server/process.py
+++ b/brookreach/coordination/server/process.py
@@ -38,9 +38,9 @@
 
 def open_storage(path: Path, told: configuration.ClusterConfiguration, me: str) -> SqliteStorage:
     """Raises BadFile for a keeper that the file does not name, DiskError for what can't be opened."""
-    part = next((one for one in told.keeper if one.name == me), None)
+    part = next((one for one in told.replicas if one.name == me), None)
     if part is None:
-        raise BadFile([f"{path}: no keeper {me!r}; there are {', '.join(one.name for one in told.keeper)}"])
+        raise BadFile([f"{path}: no keeper {me!r}; there are {', '.join(one.name for one in told.replicas)}"])
     folder = path.parent / part.disk
     try:
         folder.mkdir(mode=0o700, parents=True, exist_ok=True)
