--- a/brookreach/coordination/state_machine/tables.py
+++ b/brookreach/coordination/state_machine/tables.py
@@ -9,7 +9,7 @@
 
 import hashlib
 from collections.abc import Iterable, Iterator, Mapping
-from typing import Any, NamedTuple
+from typing import Any
 
 import msgspec
 from sortedcontainers import SortedDict
@@ -24,7 +24,7 @@
 _encoder = msgspec.msgpack.Encoder(order="deterministic")
 
 
-class StoredRow(NamedTuple):
+class StoredRow(msgspec.Struct, frozen=True):
     """A row with its encoded form. In a deletion `row` and `change.octets` are None."""
 
     row: Row | None
