--- a/brookreach/capacity/measure.py
+++ b/brookreach/capacity/measure.py
@@ -30,7 +30,7 @@
 from brookreach.coordination.state_machine.machine import StateMachine
 from brookreach.coordination.state_machine.tables import Tables, trace
 from brookreach.disruption.application import APPLICATION
-from brookreach.disruption.tables import MARSHALS, NODES, PERMITS
+from brookreach.disruption.tables import BALANCERS, NODES, PERMITS
 from brookreach.interface import Tenant
 from brookreach.model.keepers_crowd import KEY, WALL, fleet
 from brookreach.net.discovery import Discovery
@@ -164,7 +164,7 @@
         ("list_read_seconds_per_node", whole / nodes, "seconds"),
         ("change_read_seconds_per_node", change / nodes, "seconds"),
         ("node_row_bytes", encoded_bytes(NODE, "s-12345", NODES), "bytes"),
-        ("marshal_row_bytes", encoded_bytes(MARSHAL, "m-123", MARSHALS), "bytes"),
+        ("marshal_row_bytes", encoded_bytes(MARSHAL, "m-123", BALANCERS), "bytes"),
         ("permit_row_bytes", encoded_bytes(PERMIT, "drain-123456", PERMITS), "bytes"),
         ("node_frame_bytes", frame_bytes(NODE, "s-12345", NODES), "bytes"),
         ("permit_frame_bytes", frame_bytes(PERMIT, "drain-123456", PERMITS), "bytes"),
@@ -175,7 +175,7 @@
             "bytes",
         ),
         ("mirror_memory_per_node", grown_bytes(rows_of(NODES, NODE), nodes), "bytes"),
-        ("mirror_memory_per_marshal", grown_bytes(rows_of(MARSHALS, MARSHAL), nodes), "bytes"),
+        ("mirror_memory_per_marshal", grown_bytes(rows_of(BALANCERS, MARSHAL), nodes), "bytes"),
         ("mirror_memory_per_permit", grown_bytes(rows_of(PERMITS, PERMIT), nodes), "bytes"),
         ("mirror_seconds_per_row", mirror_seconds(nodes), "seconds"),
         ("seal_seconds_per_change", seal_seconds(rounds * BATCH), "seconds"),
--- a/brookreach/capacity/measure_anew.py
+++ b/brookreach/capacity/measure_anew.py
@@ -14,7 +14,8 @@
 from brookreach.coordination.state_machine.application import StagedChanges
 from brookreach.coordination.state_machine.machine import StateMachine
 from brookreach.disruption import deadlines
-from brookreach.disruption.permits import KEEP_MS
+from brookreach.disruption.permits import RETENTION_MS
+from brookreach.disruption.states import PermitAction, PermitState
 from brookreach.disruption.tables import PERMITS, PermitRow
 from brookreach.model.keepers_crowd import WALL, Crowd, fleet
 
@@ -30,8 +31,12 @@
     draft = StagedChanges(machine.view)
     for number in range(permits):
         name, target = f"old{number}", f"n{number % nodes}"
-        draft.put(PERMITS, name, PermitRow("drain", target, "op", 5, WALL, "ended", 1, WALL, WALL, 1, "work"))
-        deadlines.at(draft, WALL + KEEP_MS + number, deadlines.FORGET, name)
+        draft.put(
+            PERMITS,
+            name,
+            PermitRow(PermitAction.DRAIN, target, "op", 5, WALL, PermitState.ENDED, 1, WALL, WALL, 1, "work"),
+        )
+        deadlines.schedule(draft, WALL + RETENTION_MS + number, deadlines.TimerKind.FORGET_PERMIT, name)
     machine.view.take(draft.updates())
     fresh = StateMachine(load_applications())
     fresh.restore(machine.snapshot())
--- a/brookreach/capacity/samples.py
+++ b/brookreach/capacity/samples.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
-from brookreach.disruption.balancer_client import SERVICE
-from brookreach.disruption.tables import MarshalRow, NodeRow, PermitRow
+from brookreach.disruption.balancer_client import BALANCER_SERVICE
+from brookreach.disruption.states import PermitAction, PermitState, TargetStatus
+from brookreach.disruption.tables import BalancerRow, NodeRow, PermitRow
 from brookreach.model.keepers_crowd import WALL
 
 GROUP = "g"
@@ -32,8 +33,20 @@
     "worth": 1.0,
 }
 TENANT = {"name": "tenant-12345", "share": 0.0000204, "allowancePerS": 12.5}
-NODE = NodeRow("r1-a", 412, "service-417", 4, "ready", WALL, 7, WALL, 0, FAR_INDEX)
-MARSHAL = MarshalRow("r1-a", 0, SERVICE, "ready", WALL, FAR_INDEX)
+NODE = NodeRow("r1-a", 412, "service-417", 4, TargetStatus.READY, WALL, 7, WALL, 0, FAR_INDEX)
+MARSHAL = BalancerRow("r1-a", 0, BALANCER_SERVICE, TargetStatus.READY, WALL, FAR_INDEX)
 PERMIT = PermitRow(
-    "drain", "s-12345", "operator-7", 5, WALL, "ended", FAR_INDEX, WALL, WALL, 7, "kernel update", 0, False
+    PermitAction.DRAIN,
+    "s-12345",
+    "operator-7",
+    5,
+    WALL,
+    PermitState.ENDED,
+    FAR_INDEX,
+    WALL,
+    WALL,
+    7,
+    "kernel update",
+    0,
+    False,
 )
--- a/brookreach/cli/fleet.py
+++ b/brookreach/cli/fleet.py
@@ -15,6 +15,7 @@
 
 if TYPE_CHECKING:
     from brookreach.coordination.client.one_shot import OneShotClient
+    from brookreach.coordination.state_machine.application import Row
 
 
 @click.group()
@@ -100,10 +101,10 @@
     import anyio
 
     from brookreach.configuration import BadStart, object_at
-    from brookreach.disruption.node_agent import nodes_of, play
+    from brookreach.disruption.node_agent import nodes_from_configuration, run_agents
 
     try:
-        nodes = [replace(one, room=room) for one in nodes_of(object_at(str(config), "CONFIG"))]
+        nodes = [replace(one, capacity=room) for one in nodes_from_configuration(object_at(str(config), "CONFIG"))]
     except BadStart as error:
         raise click.ClickException(str(error)) from None
     except (KeyError, TypeError, ValueError) as error:
@@ -116,7 +117,7 @@
         said(lambda: anyio.run(process.play, file, nodes, room, gangs, click.echo))
         return
     away_s = None if away_ms is None else away_ms / 1000.0
-    said(lambda: anyio.run(play, file, nodes, away_s, click.echo))
+    said(lambda: anyio.run(run_agents, file, nodes, away_s, click.echo))
 
 
 # --- operators ---
@@ -128,12 +129,11 @@
 @WAIT
 def show(file: Path, as_json: bool, wait: float) -> None:
     """Print what is agreed."""
-    import msgspec
 
     async def look(one: OneShotClient) -> dict[str, Any]:
         view = await one.view()
         tables = {
-            name: {key: msgspec.structs.asdict(row) for key, row in view.rows(name)}
+            name: {key: _by_stored_names(row) for key, row in view.rows(name)}
             for name in sorted(one.client.mirror.watched)
         }
         return {
@@ -147,6 +147,13 @@
     out(as_json, told, lambda: _text(told))
 
 
+def _by_stored_names(row: Row) -> dict[str, Any]:
+    """A row's fields by the names that they are printed by, which stay when a field is renamed."""
+    import msgspec
+
+    return dict(zip(row.__struct_encode_fields__, msgspec.structs.astuple(row), strict=True))
+
+
 def _text(told: dict[str, Any]) -> str:
     lines = [f"leader {told['leader']}, place {told['index']}, agreed time {told['at_ms']} ms"]
     for name, rows in told["tables"].items():
--- a/brookreach/cli/fleet_ask.py
+++ b/brookreach/cli/fleet_ask.py
@@ -57,10 +57,10 @@
 @click.pass_obj
 def drain(send: Any, node: str, name: str, urgency: int, reason: str) -> None:
     """A permit for NODE to go out."""
-    from brookreach.disruption.commands import AskDrain
+    from brookreach.disruption.commands import RequestDrain
 
     name = _made(name, "drain", node)
-    send(AskDrain(name, node, urgency, reason), _permit(name))
+    send(RequestDrain(name, node, urgency, reason), _permit(name))
 
 
 @ask.command()
@@ -71,10 +71,10 @@
 @click.pass_obj
 def restart(send: Any, marshal: str, name: str, urgency: int, reason: str) -> None:
     """A permit for MARSHAL to restart."""
-    from brookreach.disruption.commands import AskRestart
+    from brookreach.disruption.commands import RequestRestart
 
     name = _made(name, "restart", marshal)
-    send(AskRestart(name, marshal, urgency, reason), _permit(name))
+    send(RequestRestart(name, marshal, urgency, reason), _permit(name))
 
 
 @ask.command("take-back")
@@ -83,9 +83,9 @@
 @click.pass_obj
 def take_back(send: Any, name: str, reason: str) -> None:
     """The permit NAME is taken back: out of the queue, or its target comes back."""
-    from brookreach.disruption.commands import TakeBack
+    from brookreach.disruption.commands import WithdrawPermit
 
-    send(TakeBack(name, reason), _permit(name))
+    send(WithdrawPermit(name, reason), _permit(name))
 
 
 @ask.command()
@@ -122,9 +122,9 @@
 @click.pass_obj
 def gone(send: Any, kind: Any, name: str, reason: str) -> None:
     """The node or marshal NAME will never come back."""
-    from brookreach.disruption.commands import Gone
+    from brookreach.disruption.commands import Decommission
 
-    send(Gone(kind, name, reason))
+    send(Decommission(kind, name, reason))
 
 
 @ask.command()
@@ -132,11 +132,12 @@
 def budgets(context: click.Context) -> None:
     """All budgets are as FILE's [[budget]] tables say from now on."""
     from brookreach.coordination import configuration
-    from brookreach.disruption.commands import BudgetFor, SetBudgets
+    from brookreach.disruption.commands import BudgetEntry, SetBudgets
+    from brookreach.disruption.states import TargetKind
 
     assert context.parent is not None
     told = said(partial(configuration.read, context.parent.params["file"]))
-    rows = tuple(BudgetFor(one.kind, one.scope, one.most_out, one.least_ready) for one in told.budget)
+    rows = tuple(BudgetEntry(TargetKind(one.kind), one.scope, one.most_out, one.least_ready) for one in told.budget)
     context.obj(SetBudgets(rows), lambda view: f"{len(rows)} budgets")
 
 
--- a/brookreach/cli/fleet_ask_work.py
+++ b/brookreach/cli/fleet_ask_work.py
@@ -117,12 +117,12 @@
 def retire(context: click.Context, node: str, at: str) -> None:
     """NODE is taken away at the time AT, as in 2026-10-25T01:00:00+02:00; `withdraw`: it stays after all."""
     from brookreach.carbon_aware.schedule_file import instant
-    from brookreach.disruption.commands import RetirementNotice, RetirementWithdrawn
+    from brookreach.disruption.commands import AnnounceRetirement, WithdrawRetirement
 
-    order: Command = RetirementWithdrawn(node)
+    order: Command = WithdrawRetirement(node)
     if at != "withdraw":
         try:
-            order = RetirementNotice(node, instant(at))
+            order = AnnounceRetirement(node, instant(at))
         except ValueError as error:
             raise click.ClickException(f"AT: {error}, or 'withdraw'") from None
     asked(*_group(context), "outages", order)
@@ -139,23 +139,31 @@
     from brookreach.disruption.tables import RELEASES
 
     row = view.get(RELEASES, str(build))
-    return f"build {build} {row.state}, stage {row.stage} of {len(row.shares)}" if row is not None else ""
+    return f"build {build} {row.state}, stage {row.stage} of {len(row.node_shares)}" if row is not None else ""
 
 
 @click.command()
 @click.argument("build", type=int)
-@click.option("--earlier", type=int, required=True, help="The build to go back to.")
-@click.option("--shares", callback=_thousandths, required=True, help="Of the nodes, in thousandths by stage.")
-@click.option("--caps", callback=_thousandths, required=True, help="Of the picks, in thousandths by stage.")
-@click.option("--wait-ms", type=int, default=600_000, show_default=True, help="Of a whole stage, before on.")
-@click.option("--back-votes", type=int, default=1, show_default=True, help="Marshals that send it back.")
-@click.option("--on-votes", type=int, default=1, show_default=True, help="Marshals that a stage needs.")
+@click.option("--earlier", "previous_build", type=int, required=True, help="The build to go back to.")
+@click.option(
+    "--shares", "node_shares", callback=_thousandths, required=True, help="Of the nodes, in thousandths by stage."
+)
+@click.option(
+    "--caps", "traffic_caps", callback=_thousandths, required=True, help="Of the picks, in thousandths by stage."
+)
+@click.option("--wait-ms", "soak_ms", type=int, default=600_000, show_default=True, help="Of a whole stage, before on.")
+@click.option(
+    "--back-votes", "rollback_votes_needed", type=int, default=1, show_default=True, help="Marshals that send it back."
+)
+@click.option(
+    "--on-votes", "promote_votes_needed", type=int, default=1, show_default=True, help="Marshals that a stage needs."
+)
 @click.pass_context
 def release(context: click.Context, build: int, **told: Any) -> None:
     """Begin the release of BUILD."""
-    from brookreach.disruption.commands import BeginRelease
+    from brookreach.disruption.commands import StartRelease
 
-    asked(*_group(context), "outages", BeginRelease(build=build, **told), partial(_release, build))
+    asked(*_group(context), "outages", StartRelease(build=build, **told), partial(_release, build))
 
 
 @click.command("send-back")
@@ -164,9 +172,9 @@
 @click.pass_context
 def send_back(context: click.Context, build: int, reason: str) -> None:
     """BUILD goes back from any stage, and never returns."""
-    from brookreach.disruption.commands import SendBack
+    from brookreach.disruption.commands import RollBackRelease
 
-    asked(*_group(context), "outages", SendBack(build, reason), partial(_release, build))
+    asked(*_group(context), "outages", RollBackRelease(build, reason), partial(_release, build))
 
 
 WORK = (schedule, drop_schedule, gang, cancel, retire, release, send_back)
--- a/brookreach/cli/run.py
+++ b/brookreach/cli/run.py
@@ -41,11 +41,11 @@
         os.environ["PROXY_CONFIG"] = str(config)
     if fleet is None:
         sys.exit(marshal.serve(partial(writer, log), record))
-    from brookreach.disruption.balancer_client import Attendance
+    from brookreach.disruption.balancer_client import BalancerClient
     from brookreach.files import BadFile
 
     try:
-        beside = partial(Attendance, path=fleet, restarts=ask_restart)
+        beside = partial(BalancerClient, path=fleet, restarts=ask_restart)
         sys.exit(marshal.serve(partial(writer, log), record, beside))
     except BadFile as error:
         click.echo(f"brookreach: {error}", err=True)
--- a/brookreach/cli/talked.py
+++ b/brookreach/cli/talked.py
@@ -73,19 +73,19 @@
     from brookreach.applications import load_applications
     from brookreach.carbon_aware.tables import CURRENT, OFFERS
     from brookreach.coordination.state_machine import sessions
-    from brookreach.disruption.tables import ASSIGNED, BUDGETS, HALT, MARSHALS, NODES, PERMITS, RELEASES
+    from brookreach.disruption.tables import BALANCERS, BUDGETS, BUILD_ASSIGNMENTS, HALT, NODES, PERMITS, RELEASES
     from brookreach.gang_scheduling.tables import GANGS, MEMBERS, ROOMS
 
     known = {name: row for one in load_applications() for name, row in one.tables.items()}
     known[sessions.SESSIONS] = sessions.TABLES[sessions.SESSIONS]
     names = (
         NODES,
-        MARSHALS,
+        BALANCERS,
         PERMITS,
         HALT,
         RELEASES,
         BUDGETS,
-        ASSIGNED,
+        BUILD_ASSIGNMENTS,
         GANGS,
         MEMBERS,
         ROOMS,
--- a/brookreach/disruption/application.py
+++ b/brookreach/disruption/application.py
@@ -1,14 +1,15 @@
-"""The piece as the ground takes it: each order to the room that knows it, and back what has changed by it.
+"""The application of planned disruptions: hands each command and timer to the module that handles it.
 
-It owns no rule. Halts touch both permits and releases, so they meet here.
+It owns no rule. Halts concern both permits and releases, so they meet here.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
-from typing import Any
+from typing import Any  # a union of types has no type of its own
 
 from brookreach.coordination.state_machine.application import (
+    Command,
     CommandRejectedError,
     Context,
     Row,
@@ -16,114 +17,153 @@
     StagedChanges,
     View,
 )
-from brookreach.disruption import budgets, deadlines, halt, internal_tables, liveness, permits, releases
-from brookreach.disruption import commands as orders
-from brookreach.disruption import tables as rows
-from brookreach.disruption.targets import OVER
+from brookreach.disruption import (
+    budgets,
+    commands,
+    deadlines,
+    halt,
+    internal_tables,
+    liveness,
+    permit_grants,
+    permit_requests,
+    permits,
+    releases,
+    tables,
+    votes,
+)
+from brookreach.disruption.deadlines import TimerKind
+from brookreach.disruption.internal_tables import TimerRow
+from brookreach.disruption.states import PermitAction
+
 
+def effective_updates(draft: StagedChanges) -> list[RowUpdate]:
+    """The updates without those that leave a row as it is."""
+    return [update for update in draft.updates() if draft.under.get(update.table, update.key) != update.row]
 
-def changes(draft: StagedChanges) -> list[RowUpdate]:
-    """Without what was taken out and put back as it was."""
-    return [put for put in draft.updates() if draft.under.get(put.table, put.key) != put.row]
 
+class DisruptionApplication:
+    """Budgets, permits, halts and releases as an application of the replicated state machine."""
 
-class Outages:
     name = "outages"
     version = 1
-    orders: Any = orders.Orders
+    orders: Any = commands.Commands
     tables: Mapping[str, type[Row]] = {
-        rows.NODES: rows.NodeRow,
-        rows.MARSHALS: rows.MarshalRow,
-        rows.PERMITS: rows.PermitRow,
-        rows.HALT: rows.HaltRow,
-        rows.RELEASES: rows.ReleaseRow,
-        rows.BUDGETS: rows.BudgetRow,
-        rows.ASSIGNED: rows.AssignRow,
+        tables.NODES: tables.NodeRow,
+        tables.BALANCERS: tables.BalancerRow,
+        tables.PERMITS: tables.PermitRow,
+        tables.HALT: tables.HaltRow,
+        tables.RELEASES: tables.ReleaseRow,
+        tables.BUDGETS: tables.BudgetRow,
+        tables.BUILD_ASSIGNMENTS: tables.BuildAssignmentRow,
         internal_tables.COUNTS: internal_tables.CountRow,
-        internal_tables.OPEN: internal_tables.OpenRow,
-        internal_tables.WAITS: internal_tables.WaitRow,
-        internal_tables.LINES: internal_tables.LineRow,
-        internal_tables.HELD: internal_tables.HeldRow,
-        internal_tables.DRAWS: internal_tables.DrawRow,
-        internal_tables.DUE: internal_tables.DueRow,
+        internal_tables.OPEN_PERMITS: internal_tables.OpenPermitsRow,
+        internal_tables.QUEUE_ENTRIES: internal_tables.QueueEntryRow,
+        internal_tables.QUEUES: internal_tables.QueueRow,
+        internal_tables.GRANTED_PERMITS: internal_tables.GrantedPermitRow,
+        internal_tables.ROLLOUT_ORDER: internal_tables.RolloutOrderRow,
+        internal_tables.TIMERS: internal_tables.TimerRow,
         internal_tables.PROGRESS: internal_tables.ProgressRow,
         internal_tables.VOTES: internal_tables.VoteRow,
     }
 
-    def apply(self, view: View, order: Any, context: Context) -> list[RowUpdate]:
-        orders.may(order, context)
+    def apply(self, view: View, command: Command, context: Context) -> list[RowUpdate]:
+        """What the command changes.
+
+        Raises:
+            CommandRejectedError: the state or the sender does not allow it.
+        """
+        commands.check_sender(command, context)
         draft = StagedChanges(view)
-        match order:
-            case orders.NodeSeen():
-                liveness.node(draft, order, context)
-            case orders.MarshalSeen():
-                liveness.marshal(draft, order, context)
-            case orders.AskDrain():
-                permits.ask(draft, context, order.name, "drain", order.node, order.urgency, order.reason)
-            case orders.AskRestart():
-                permits.ask(draft, context, order.name, "restart", order.marshal, order.urgency, order.reason)
-            case orders.TakeBack():
-                self._take_back(draft, order, context)
-            case orders.Voted():
-                releases.voted(draft, order, context)
-            case orders.BeginRelease():
-                releases.begin(draft, order, context)
-            case orders.SendBack():
-                releases.send_back(draft, order, context)
-            case orders.Halt():
-                halt.halt(draft, context, context.client, order.reason, order.way_back)
-                releases.hold(draft)
-            case orders.Resume():
-                halt.lift(draft, order.fence)
-                releases.go_on(draft, context)
-                permits.serve(draft, context)
-            case orders.SetBudgets():
-                budgets.set_budgets(draft, order, context)
-                permits.serve(draft, context)
-            case orders.Gone():
-                liveness.gone(draft, order, context)
-            case orders.RetirementNotice() | orders.RetirementWithdrawn():
-                liveness.notice(draft, order, context)
-        return changes(draft)
-
-    def _take_back(self, draft: StagedChanges, order: orders.TakeBack, context: Context) -> None:
-        permit = draft.get(rows.PERMITS, order.name)
-        if permit is not None and permit.what == "move":
-            raise CommandRejectedError(f"{order.name} is a gang's move: its gang takes it back")
-        if permit is not None and context.client_kind == "marshal" and permit.target != context.client:
-            raise CommandRejectedError(
-                f"{order.name} is of {permit.target}: {context.client} may take back its own only"
-            )
-        permits.take_back(draft, context, order.name, order.reason)
+        match command:
+            case commands.ReportNode():
+                liveness.report_node(draft, command, context)
+            case commands.ReportBalancer():
+                liveness.report_balancer(draft, command, context)
+            case commands.Decommission():
+                liveness.decommission(draft, command, context)
+            case commands.AnnounceRetirement() | commands.WithdrawRetirement():
+                liveness.set_retirement(draft, command)
+            case commands.RequestDrain() | commands.RequestRestart() | commands.WithdrawPermit():
+                _apply_permit_command(draft, command, context)
+            case commands.SetBudgets():
+                budgets.set_budgets(draft, command)
+                permit_grants.grant_waiting(draft, context)
+            case commands.Halt():
+                halt.start_halt(draft, context, context.client, command.reason, command.allows_rollback)
+                releases.pause_all(draft)
+            case commands.Resume():
+                halt.resume(draft, command.fence)
+                releases.resume_all(draft, context)
+                permit_grants.grant_waiting(draft, context)
+            case commands.StartRelease():
+                releases.start(draft, command, context)
+            case commands.RollBackRelease():
+                releases.roll_back(draft, command, context)
+            case commands.CastVote():
+                votes.cast_vote(draft, command, context)
+        return effective_updates(draft)
 
     def next_timer_ms(self, view: View) -> int | None:
-        return deadlines.next_ms(view)
+        """When time alone next changes something; None: never."""
+        return deadlines.next_timer_ms(view)
 
     def advance_time(self, view: View, context: Context) -> list[RowUpdate]:
+        """What timers change that are due by `context.now_ms`."""
         draft = StagedChanges(view)
-        for one in deadlines.taken(draft, context.now_ms):
-            match one.what:
-                case deadlines.LATE:
-                    permits.late(draft, context, one.name)
-                case deadlines.FORGET:
-                    permit = draft.get(rows.PERMITS, one.name)
-                    if permit is not None and permit.state in OVER:
-                        draft.put(rows.PERMITS, one.name, None)
-                case deadlines.NODE:
-                    liveness.forget(draft, context, one.name)
-                case deadlines.VOTES:
-                    releases.forget(draft, context, int(one.name))
-                case deadlines.STAGE:
-                    releases.check(draft, context, int(one.name))
-                case deadlines.DRAW:
-                    releases.more(draft, context, int(one.name))
-        permits.serve(draft, context)
-        return changes(draft)
+        for timer in deadlines.pop_due(draft, context.now_ms):
+            _handle_timer(draft, context, timer)
+        permit_grants.grant_waiting(draft, context)
+        return effective_updates(draft)
 
     def end_session(self, view: View, context: Context) -> list[RowUpdate]:
+        """What the end of the session of `context.client` changes."""
         draft = StagedChanges(view)
-        liveness.session_ended(draft, context)
-        return changes(draft)
+        liveness.end_session(draft, context)
+        return effective_updates(draft)
+
+
+def _apply_permit_command(
+    draft: StagedChanges,
+    command: commands.RequestDrain | commands.RequestRestart | commands.WithdrawPermit,
+    context: Context,
+) -> None:
+    match command:
+        case commands.RequestDrain(name=name, node=node, urgency=urgency, reason=reason):
+            permit_requests.request(draft, context, name, PermitAction.DRAIN, node, urgency, reason)
+        case commands.RequestRestart(name=name, balancer=balancer, urgency=urgency, reason=reason):
+            permit_requests.request(draft, context, name, PermitAction.RESTART, balancer, urgency, reason)
+        case commands.WithdrawPermit(name=name, reason=reason):
+            _check_withdrawal(draft, name, context)
+            permit_requests.withdraw(draft, context, name, reason)
+
+
+def _check_withdrawal(draft: StagedChanges, name: str, context: Context) -> None:
+    """Gangs withdraw migrations themselves, and a balancer only what is for itself."""
+    permit = permits.find_permit(draft, name)
+    if permit is None:
+        return
+    if permit.action == PermitAction.MIGRATE:
+        raise CommandRejectedError(f"{name} is a gang's move: its gang takes it back")
+    if context.client_kind == "marshal" and permit.target != context.client:
+        raise CommandRejectedError(f"{name} is of {permit.target}: {context.client} may take back its own only")
+
+
+def _handle_timer(draft: StagedChanges, context: Context, timer: TimerRow) -> None:
+    match TimerKind(timer.kind):
+        case TimerKind.MARK_OVERDUE:
+            permits.mark_overdue(draft, timer.name)
+        case TimerKind.FORGET_PERMIT:
+            permits.forget(draft, timer.name)
+        case TimerKind.FORGET_TARGET:
+            liveness.forget_decommissioned(draft, context, timer.name)
+        case TimerKind.FORGET_VOTES:
+            votes.remove_votes(draft, context, int(timer.name))
+        case TimerKind.ADVANCE_STAGE:
+            releases.advance(draft, context, int(timer.name))
+        case TimerKind.CONTINUE_BATCH:
+            releases.continue_batch(draft, context, int(timer.name))
+        case TimerKind.GRANT_WAITING:
+            pass  # done after every batch of timers
 
 
-APPLICATION = Outages()
+APPLICATION = DisruptionApplication()
--- a/brookreach/disruption/balancer_client.py
+++ b/brookreach/disruption/balancer_client.py
@@ -1,8 +1,7 @@
-"""A marshal's part in the fleet: `brookreach run --fleet`. It says that it stands, and hears what was
-agreed.
+"""A balancer's part in the fleet: `brookreach run --fleet`. It reports itself, and follows what was agreed.
 
-It owns the marshal's client of the group. No RPC waits for it: whatever fails here costs news, and is tried
-again.
+This module owns the balancer's client of the group. No RPC waits for it: whatever fails here delays changes, and is
+tried again.
 """
 
 from __future__ import annotations
@@ -12,8 +11,9 @@
 import re
 import time
 import traceback
+from collections.abc import Callable, Mapping
 from pathlib import Path
-from typing import Any, Literal
+from typing import Any, Protocol  # a balancer's settings are plain JSON here
 
 import anyio
 
@@ -32,98 +32,201 @@
 from brookreach.coordination.client.session_holder import SessionNotHeldError
 from brookreach.coordination.state_machine.application import Command
 from brookreach.disruption.application import APPLICATION
-from brookreach.disruption.commands import AskRestart, MarshalSeen
-from brookreach.disruption.endpoint_overlay import Agreed, Overlay
-from brookreach.disruption.tables import HALT, MARSHALS, NODES, PERMITS
+from brookreach.disruption.commands import ReportBalancer, RequestRestart
+from brookreach.disruption.endpoint_overlay import AgreedDrains, EndpointListener, EndpointOverlay
+from brookreach.disruption.states import TargetStatus
+from brookreach.disruption.tables import BALANCERS, HALT, NODES, PERMITS
 from brookreach.files import BadFile
+from brookreach.net.link import Listed
 
-WATCHED = (HALT, MARSHALS, NODES, PERMITS)
-SERVICE = "marshals"
-AGAIN_S = 1.0  # after a defect here
+WATCHED_TABLES = (HALT, BALANCERS, NODES, PERMITS)
+BALANCER_SERVICE = "marshals"
+RESTART_DELAY_S = 1.0  # of this client, after a defect in it
+LEAVE_TIMEOUT_S = 0.2
+SESSION_END_TIMEOUT_S = 0.1
+RESTART_URGENCY = 5
+NAME_PATTERN = re.compile(r"[A-Za-z0-9._-]{1,64}")
+EVENT = "fleet"  # by which the balancer's report knows these lines
 
 
-class Attendance:
-    """Beside the other tasks of `brookreach.__main__.Parts`. `restarts`: at SIGTERM it asks for a permit, and
-    does not wait for it."""
+class EventReport(Protocol):
+    """Where a balancer's events are written."""
 
-    def __init__(self, parts: Any, path: Path, restarts: bool):
-        told = configuration.read(path)
-        self.key, self.group, self.addresses, self.timing = (
-            configuration.read_key(path, told),
-            told.group.name,
-            told.addresses(),
-            told.times(),
-        )
-        self.parts, self.restarts, self.name = parts, restarts, parts.report.name
-        if not re.fullmatch(r"[A-Za-z0-9._-]{1,64}", self.name):
+    name: str
+
+    def say(self, kind: str, text: str) -> None:
+        """Writes one event."""
+        ...
+
+
+class Discovery(Protocol):
+    """The part of discovery that the overlay needs."""
+
+    numbers: Mapping[str, int]
+    version: int
+    told: EndpointListener
+
+
+class Placement(Protocol):
+    """The index of the balancer's own zone in its settings."""
+
+    zone: int
+
+
+class DriverStart(Protocol):
+    """What the driver was started with."""
+
+    place: Placement
+
+
+class Endpoint(Protocol):
+    """An endpoint of the driver, with its entry in discovery's list."""
+
+    listed: Listed
+
+
+class EndpointTable(Protocol):
+    """The driver's endpoints by number."""
+
+    endpoints: Mapping[int, Endpoint]
+
+
+class Driver(Protocol):
+    """The part of the driver that the overlay needs."""
+
+    start: DriverStart
+    nodes: EndpointTable
+    told: EndpointListener
+
+
+class BalancerParts(Protocol):
+    """The parts of a running balancer beside which the client runs; see `brookreach.__main__.Parts`."""
+
+    report: EventReport
+    told: Mapping[str, Any]
+    discovery: Discovery
+    driver: Driver
+
+
+class BalancerClient:
+    """Runs beside the balancer's other tasks.
+
+    Args:
+        parts: Of the balancer; the overlay is put between its discovery and its driver.
+        path: The group's file.
+        restarts: At SIGTERM it requests a permit for its restart, and does not wait for it.
+
+    Raises:
+        BadFile: the group's file or key can't be read, or the balancer's name doesn't fit a group.
+    """
+
+    def __init__(self, parts: BalancerParts, path: Path, restarts: bool):
+        cluster = configuration.read(path)
+        self.key = configuration.read_key(path, cluster)
+        self.group = cluster.group.name
+        self.addresses = cluster.addresses()
+        self.timing = cluster.times()
+        self.report = parts.report
+        self.restarts = restarts
+        self.name = parts.report.name
+        if not NAME_PATTERN.fullmatch(self.name):
             raise BadFile([f"name {self.name!r}: in a group 1 to 64 of A-Z a-z 0-9 . _ - are allowed"])
         self.zone = str(parts.told["settings"]["zones"][parts.driver.start.place.zone])
-        self.overlay = Overlay(lambda: parts.discovery.numbers, parts.driver.told)
-        self.overlay.version = parts.discovery.version
-        for number, endpoint in parts.driver.nodes.endpoints.items():
-            self.overlay.stands[number] = endpoint.listed
-        parts.discovery.told = self.overlay.told
-        self.begin()
-
-    def begin(self) -> None:
-        tables = {name: APPLICATION.tables[name] for name in WATCHED}
-        self.agreed = Agreed()
-        keepers = tuple(self.addresses)
-        self.client = Client(self.name, "marshal", keepers, self.timing, random.Random(), tables)
-        self.dial = ClientConnection(self.client, self.group, self.key, self.addresses, self.hear)
-        self.seen: Literal["ready", "draining"] = "ready"
+        self.overlay = _install_overlay(parts)
+        self.connect()
+
+    def connect(self) -> None:
+        """Makes a new client without a session, which knows nothing yet."""
+        tables = {name: APPLICATION.tables[name] for name in WATCHED_TABLES}
+        self.drains = AgreedDrains()
+        self.client = Client(self.name, "marshal", tuple(self.addresses), self.timing, random.Random(), tables)
+        self.connection = self.make_connection(self.client)
+        self.status = TargetStatus.READY
+
+    def make_connection(self, client: Client) -> ClientConnection:
+        """The connection of the client to the group's replicas."""
+        return ClientConnection(client, self.group, self.key, self.addresses, self.on_event)
 
     async def run(self) -> None:
         """Until cancelled."""
         while True:
             try:
-                await self.dial.run()
-            except Exception:  # a defect must not end the marshal
-                self.parts.report.say("fault", traceback.format_exc(limit=-2))
-            await anyio.sleep(AGAIN_S)
-            self.begin()
+                await self.connection.run()
+            except Exception:  # a defect must not end the balancer
+                self.report.say("fault", traceback.format_exc(limit=-2))
+            await anyio.sleep(RESTART_DELAY_S)
+            self.connect()
 
     def stops(self) -> None:
-        """SIGTERM: on its way out while it still answers, and gone as it ends; nothing waits for that."""
-        self.seen = "draining"
+        """SIGTERM: draining while it still answers, and down as it ends; nothing waits for that."""
+        self.status = TargetStatus.DRAINING
         if self.restarts:
-            self._ask(AskRestart(f"restart.{self.name}.{self.client.session}", self.name, 5, "told to end"))
-        self._say()
+            name = f"restart.{self.name}.{self.client.session}"
+            self._send(RequestRestart(name, self.name, RESTART_URGENCY, "told to end"))
+        self._report()
 
     async def ends(self) -> None:
-        with anyio.move_on_after(0.2):
-            await self.dial.end(0.1)
-
-    def _say(self) -> None:
-        self._ask(MarshalSeen(self.name, self.zone, 0, SERVICE, self.seen, True, self.client.mirror.index))
+        """Ends the session, if that is done at once."""
+        with anyio.move_on_after(LEAVE_TIMEOUT_S):
+            await self.connection.end(SESSION_END_TIMEOUT_S)
+
+    def _report(self) -> None:
+        report = ReportBalancer(
+            balancer=self.name,
+            zone=self.zone,
+            build=0,
+            service=BALANCER_SERVICE,
+            status=self.status,
+            warm=True,
+            applied_index=self.client.mirror.index,
+        )
+        self._send(report)
 
-    def _ask(self, order: Command) -> None:
-        """Without a session there is nobody to ask; the next one begins with what stands then."""
+    def _send(self, command: Command) -> None:
+        """Without a session nothing is sent; the next session begins with a report."""
         if self.client.session:
             with contextlib.suppress(TooManyRequestsError, SessionNotHeldError):
-                self.client.ask(now_ms(), APPLICATION.name, order)
-            self.dial.stir()
+                self.client.ask(now_ms(), APPLICATION.name, command)
+            self.connection.stir()
 
-    def hear(self, event: ClientEvent) -> None:
-        say = self.parts.report.say
+    def on_event(self, event: ClientEvent) -> None:
+        """Takes in what the group says."""
         match event:
-            case SessionEstablished(session=session, keeper=keeper, again=again):
-                say("fleet", f"session {session} {'goes on' if again else 'begins'} with {keeper}")
+            case SessionEstablished(session=session, keeper=replica, again=again):
+                self._log(f"session {session} {'goes on' if again else 'begins'} with {replica}")
                 if not again:
-                    self._say()
+                    self._report()
             case SessionLost(session=session, why=why):
-                say("fleet", f"session {session} is lost: {why}; what was agreed last stands")
+                self._log(f"session {session} is lost: {why}; what was agreed last stands")
             case RowsChanged():
-                self._changed(event)
+                self._show_drains(event)
             case ReplyReceived(ok=False, text=text):
-                say("fleet", f"refused: {text}")
+                self._log(f"refused: {text}")
             case ClientRejected(why=why, text=text):
-                say("fleet", f"turned away, {why}: {text}")
+                self._log(f"turned away, {why}: {text}")
 
-    def _changed(self, event: RowsChanged) -> None:
+    def _show_drains(self, event: RowsChanged) -> None:
         began = time.monotonic()
-        moved = self.overlay.agreed(self.agreed.take(self.client.mirror, event))
-        took = f"told in {(time.monotonic() - began) * 1000.0:.1f} ms"
-        for name in moved:
-            stands = "drains" if name in self.overlay.names else "is as discovery has it"
-            self.parts.report.say("fleet", f"{name} {stands}, agreed at place {event.index}, {took}")
+        changed = self.overlay.set_drained(self.drains.take(self.client.mirror, event))
+        elapsed_ms = (time.monotonic() - began) * 1000.0
+        for name in changed:
+            shown = "drains" if name in self.overlay.drained else "is as discovery has it"
+            self._log(f"{name} {shown}, agreed at place {event.index}, told in {elapsed_ms:.1f} ms")
+
+    def _log(self, text: str) -> None:
+        self.report.say(EVENT, text)
+
+
+def _install_overlay(parts: BalancerParts) -> EndpointOverlay:
+    """Puts an overlay, which begins with the driver's endpoints, between discovery and the driver."""
+    overlay = EndpointOverlay(_numbers_reader(parts.discovery), parts.driver.told)
+    overlay.version = parts.discovery.version
+    for number, endpoint in parts.driver.nodes.endpoints.items():
+        overlay.endpoints[number] = endpoint.listed
+    parts.discovery.told = overlay.on_listing
+    return overlay
+
+
+def _numbers_reader(discovery: Discovery) -> Callable[[], Mapping[str, int]]:
+    """Discovery replaces its numbers with each list, so they are read when needed."""
+    return lambda: discovery.numbers
--- a/brookreach/disruption/budgets.py
+++ b/brookreach/disruption/budgets.py
@@ -1,72 +1,103 @@
-"""How many may be out at once, by scope, and how many are. Both kinds: nodes and marshals.
+"""Disruption budgets: how many targets may be unavailable at once by scope, and how many are.
 
 A target is in four scopes: all, its zone, its build, its service. A scope without a budget limits nothing,
-but as long as a kind has none for "all", nothing of it may go out on plan. What is out unplanned has taken
+but as long as a kind has none for "all", none of it may be disrupted on plan. What is unavailable unplanned has taken
 its place before anything planned is looked at, because both stand in one count.
 """
 
 from __future__ import annotations
 
-from typing import Any, Literal
+from collections import Counter
 
-from brookreach.coordination.state_machine.application import CommandRejectedError, Context, StagedChanges, View
+from brookreach.coordination.state_machine.application import CommandRejectedError, StagedChanges, View
 from brookreach.disruption.commands import SetBudgets
-from brookreach.disruption.internal_tables import COUNTS, CountRow, ordered
-from brookreach.disruption.tables import BUDGETS, MARSHALS, NODES, BudgetRow, MarshalRow, NodeRow
+from brookreach.disruption.errors import UnknownTargetError
+from brookreach.disruption.internal_tables import COUNTS, CountRow, iterate_rows
+from brookreach.disruption.states import TargetKind
+from brookreach.disruption.tables import BALANCERS, BUDGETS, NODES, BalancerRow, BudgetRow, NodeRow
 
-Kind = Literal["node", "marshal"]
-KINDS: tuple[Kind, ...] = ("node", "marshal")
+ALL_SCOPE = "all"
 NO_LIMIT = 1 << 40
+GRANT_ORDER = (TargetKind.NODE, TargetKind.BALANCER)  # of kinds, in which permits are granted
 
 
-def target(view: View, kind: Kind, name: str) -> NodeRow | MarshalRow | None:
-    row: Any = view.get(NODES if kind == "node" else MARSHALS, name)
+def find_target(view: View, kind: TargetKind, name: str) -> NodeRow | BalancerRow | None:
+    """The row of a node or balancer; None where it is not known."""
+    row: NodeRow | BalancerRow | None = view.get(table_of(kind), name)
     return row
 
 
+def get_target(view: View, kind: TargetKind, name: str) -> NodeRow | BalancerRow:
+    """The row of a target that a permit or queue entry names.
+
+    Raises:
+        UnknownTargetError: it has none.
+    """
+    row = find_target(view, kind, name)
+    if row is None:
+        raise UnknownTargetError(kind, name)
+    return row
+
+
+def table_of(kind: TargetKind) -> str:
+    """The table of the targets of this kind."""
+    return NODES if kind == TargetKind.NODE else BALANCERS
+
+
 def scopes(zone: str, build: int | str, service: str) -> tuple[str, str, str, str]:
-    return "all", f"zone:{zone}", f"build:{build}", f"service:{service}"
+    """The scopes of a target; the widest is first."""
+    return ALL_SCOPE, f"zone:{zone}", f"build:{build}", f"service:{service}"
 
 
-def scopes_of(row: NodeRow | MarshalRow) -> tuple[str, str, str, str]:
+def scopes_of(row: NodeRow | BalancerRow) -> tuple[str, str, str, str]:
+    """The scopes of the target with this row."""
     return scopes(row.zone, row.build, row.service)
 
 
-def count(view: View, kind: Kind, scope: str) -> CountRow:
+def outage_count(view: View, kind: TargetKind, scope: str) -> CountRow:
+    """The count of the scope; zeros where nothing is in it."""
     found: CountRow | None = view.get(COUNTS, f"{kind}/{scope}")
     return found or CountRow(0, 0)
 
 
-def counted(draft: StagedChanges, kind: Kind, scope: str, total: int, out: int) -> None:
-    old = count(draft, kind, scope)
-    new = CountRow(old.total + total, old.out + out)
+def adjust_count(draft: StagedChanges, kind: TargetKind, scope: str, total: int, unavailable: int) -> None:
+    """Adds these, which may be negative, to the scope's count; a count of nothing has no row."""
+    old = outage_count(draft, kind, scope)
+    new = CountRow(old.total + total, old.unavailable + unavailable)
     draft.put(COUNTS, f"{kind}/{scope}", new if new.total else None)
 
 
-def limit(view: View, kind: Kind, scope: str) -> BudgetRow | None:
+def find_budget(view: View, kind: TargetKind, scope: str) -> BudgetRow | None:
+    """The budget of the scope; None where it has none."""
     found: BudgetRow | None = view.get(BUDGETS, f"{kind}/{scope}")
     return found
 
 
-def room(view: View, kind: Kind, scope: str) -> int:
-    """How many more may be out there; under 0 where outages that nobody planned took more than there was."""
-    budget = limit(view, kind, scope)
+def allowed_disruptions(view: View, kind: TargetKind, scope: str) -> int:
+    """How many more may be unavailable; under 0 where unplanned outages took more than the budget has."""
+    budget = find_budget(view, kind, scope)
     if budget is None:
-        return NO_LIMIT if scope != "all" else -1
-    now = count(view, kind, scope)
-    return min(budget.most_out - now.out, now.total - now.out - budget.least_ready)
-
-
-def set_budgets(draft: StagedChanges, order: SetBudgets, context: Context) -> None:
-    """The operators' file as a whole: what it doesn't name has no budget any more."""
-    names = [f"{one.kind}/{one.scope}" for one in order.rows]
-    rows = [BudgetRow(one.kind, one.most_out, one.least_ready) for one in order.rows]
-    told = dict(zip(names, rows, strict=True))
-    if len(told) < len(names):
-        twice = sorted({name for name in names if names.count(name) > 1})
-        raise CommandRejectedError(f"budgets stand twice: {', '.join(twice)}; one for each kind and scope is allowed")
-    for key, _ in list(ordered(draft, BUDGETS)):
-        if key not in told:
+        return NO_LIMIT if scope != ALL_SCOPE else -1
+    count = outage_count(view, kind, scope)
+    ready = count.total - count.unavailable
+    return min(budget.max_unavailable - count.unavailable, ready - budget.min_ready)
+
+
+def set_budgets(draft: StagedChanges, command: SetBudgets) -> None:
+    """Replaces all budgets: what the command doesn't name has none any more.
+
+    Raises:
+        CommandRejectedError: a kind and scope has two budgets.
+    """
+    keys = Counter(f"{entry.kind}/{entry.scope}" for entry in command.rows)
+    repeated = sorted(key for key, times in keys.items() if times > 1)
+    if repeated:
+        raise CommandRejectedError(
+            f"budgets stand twice: {', '.join(repeated)}; one for each kind and scope is allowed"
+        )
+    for key, _ in list(iterate_rows(draft, BUDGETS)):
+        if key not in keys:
             draft.put(BUDGETS, key, None)
-    for key, row in told.items():
-        draft.put(BUDGETS, key, row)
+    for entry in command.rows:
+        row = BudgetRow(entry.kind, entry.max_unavailable, entry.min_ready)
+        draft.put(BUDGETS, f"{entry.kind}/{entry.scope}", row)
--- a/brookreach/disruption/build_assignments.py
+++ b/brookreach/disruption/build_assignments.py
@@ -1,163 +1,209 @@
-"""Which nodes are to run which build: drawn for a stage, given back in reverse, and followed until they do.
+"""Which nodes are to run which build: assigned for a stage, unassigned in reverse, and reconciled until they do.
 
-It owns the rows that agents follow and the restarts that wait for them. It never restarts a node: that takes
-a permit, in the same queue and budgets as every other planned outage. Nodes are drawn by buckets of a digest
-of their names, begun elsewhere for each build: zones and services are mixed, and other nodes are first.
+This module owns the rows that agents follow and the restarts that wait for them. It never restarts a node: that takes
+a permit, by the same queue and budgets as every other planned disruption. Nodes are taken by buckets of a digest of
+their names, beginning elsewhere for each build: zones and services are mixed, and other nodes are first.
 """
 
 from __future__ import annotations
 
+from collections.abc import Iterator
+
 from msgspec import structs
 
 from brookreach.coordination.state_machine.application import Context, StagedChanges, View
-from brookreach.disruption import deadlines, targets
-from brookreach.disruption.internal_tables import DRAWS, PROGRESS, ProgressRow, ordered
-from brookreach.disruption.tables import ASSIGNED, NODES, RELEASES, AssignRow, NodeRow, ReleaseRow
-
-BUCKETS, SPREAD = 256, 101  # of names; by how many buckets the next build begins elsewhere
-BATCH = 96  # nodes drawn or given back in one record; the rest at once in the next
-MOST_TRIES = 3  # restarts of one node for one assignment; then it waits for an operator
-WAY_BACK = ("going back", "sent back")
-
-
-def share(thousandths: int, total: int) -> int:
+from brookreach.disruption import deadlines, permits, targets
+from brookreach.disruption.deadlines import TimerKind
+from brookreach.disruption.internal_tables import PROGRESS, ROLLOUT_ORDER, ProgressRow, iterate_rows
+from brookreach.disruption.states import ROLLBACK_STATES, ReleaseState, TargetKind, TargetStatus
+from brookreach.disruption.tables import (
+    BUILD_ASSIGNMENTS,
+    NODES,
+    RELEASES,
+    BuildAssignmentRow,
+    NodeRow,
+    ReleaseRow,
+)
+
+BUCKETS = 256  # of node names
+BUCKET_OFFSET_PER_BUILD = 101  # by how many buckets the next build begins elsewhere
+MAX_NODES_PER_RECORD = 96  # assigned or unassigned; the others at once in the next record
+MAX_RESTART_ATTEMPTS = 3  # of one node for one assignment; then it waits for an operator
+
+
+def stage_size(thousandths: int, total: int) -> int:
     """Nodes of a stage, rounded as the platform's stages are: up, from a hundredth of a node on."""
     return -((10 - thousandths * total) // 1000)
 
 
-def release_of(view: View, build: int) -> ReleaseRow | None:
+def find_release(view: View, build: int) -> ReleaseRow | None:
+    """The release of the build; None: there is none."""
     found: ReleaseRow | None = view.get(RELEASES, str(build))
     return found
 
 
-def good(view: View, build: int) -> int:
-    """The build itself, or the one before it that was not sent back. No circle: see `releases.send_back`."""
-    while (release := release_of(view, build)) is not None and release.state in WAY_BACK:
-        build = release.earlier
+def find_assignment(view: View, node: str) -> BuildAssignmentRow | None:
+    """What the node is to run; None: whatever it runs."""
+    found: BuildAssignmentRow | None = view.get(BUILD_ASSIGNMENTS, node)
+    return found
+
+
+def last_good_build(view: View, build: int) -> int:
+    """The build itself, or the latest before it that was not rolled back. See `releases.roll_back`: no cycle."""
+    while (release := find_release(view, build)) is not None and release.state in ROLLBACK_STATES:
+        build = release.previous_build
     return build
 
 
-def progress_of(view: View, build: int) -> ProgressRow:
+def get_progress(view: View, build: int) -> ProgressRow:
+    """The progress of the build's release, which is known to exist."""
     found: ProgressRow = view.get(PROGRESS, str(build))
     return found
 
 
-def _bucket(build: int, nth: int) -> str:
-    return f"{(build * SPREAD + nth) % BUCKETS:02x}/"
+def put_progress(draft: StagedChanges, build: int, progress: ProgressRow) -> None:
+    """Replaces the progress of the build's release."""
+    draft.put(PROGRESS, str(build), progress)
+
 
+def _nodes_of_bucket(view: View, build: int, position: int) -> Iterator[str]:
+    """Nodes of the bucket at this position in the build's order."""
+    bucket = (build * BUCKET_OFFSET_PER_BUILD + position) % BUCKETS
+    for _, row in iterate_rows(view, ROLLOUT_ORDER, f"{bucket:02x}/"):
+        yield row.node
 
-def draw(draft: StagedChanges, context: Context, build: int) -> None:
-    """More nodes for the stage that is open, until it has its target or all were looked at."""
-    left = BATCH
-    progress = progress_of(draft, build)
-    while progress.drawing and left:
-        if progress.drawn >= progress.target or progress.cursor == BUCKETS:
-            progress = structs.replace(progress, drawing=False)
-            draft.put(PROGRESS, str(build), progress)
+
+def assign_stage(draft: StagedChanges, context: Context, build: int) -> None:
+    """Assigns more nodes to the open stage, until it has its target or all nodes were looked at."""
+    remaining = MAX_NODES_PER_RECORD
+    progress = get_progress(draft, build)
+    while progress.assigning and remaining:
+        if progress.assigned >= progress.target_nodes or progress.cursor == BUCKETS:
+            put_progress(draft, build, structs.replace(progress, assigning=False))
             return
-        names = [row.node for _, row in ordered(draft, DRAWS, _bucket(build, progress.cursor))]
-        names = [name for name in names if not _drawn(draft, name, build)]
-        some = names[: min(left, progress.target - progress.drawn)]
-        for name in some:
-            _assign(draft, name, AssignRow(build, build))
-            follow(draft, context, name)
-        left -= len(some)
-        progress = progress_of(draft, build)
-        if len(some) == len(names):
+        bucket = _nodes_of_bucket(draft, build, progress.cursor)
+        candidates = [node for node in bucket if not _is_assigned(draft, node, build)]
+        chosen = candidates[: min(remaining, progress.target_nodes - progress.assigned)]
+        for node in chosen:
+            _assign(draft, node, BuildAssignmentRow(build, build))
+            reconcile_node(draft, context, node)
+        remaining -= len(chosen)
+        progress = get_progress(draft, build)
+        if len(chosen) == len(candidates):
             progress = structs.replace(progress, cursor=progress.cursor + 1)
-            draft.put(PROGRESS, str(build), progress)
-    if progress.drawing:
-        deadlines.at(draft, context.now_ms, deadlines.DRAW, str(build))
+            put_progress(draft, build, progress)
+    if progress.assigning:
+        deadlines.schedule(draft, context.now_ms, TimerKind.CONTINUE_BATCH, str(build))
 
 
-def undraw(draft: StagedChanges, context: Context, build: int) -> None:
-    """The way back: the last drawn first. Only nodes that run the build, or may come up with it, restart."""
-    left = BATCH
-    progress = progress_of(draft, build)
-    while progress.drawing and left:
+def unassign_for_rollback(draft: StagedChanges, context: Context, build: int) -> None:
+    """Rolls nodes back, the last assigned first. Only those that run the build, or may start it, restart."""
+    remaining = MAX_NODES_PER_RECORD
+    progress = get_progress(draft, build)
+    while progress.assigning and remaining:
         if not progress.cursor:
-            progress = structs.replace(progress, drawing=False)
-            draft.put(PROGRESS, str(build), progress)
+            put_progress(draft, build, structs.replace(progress, assigning=False))
             return
-        names = [row.node for _, row in ordered(draft, DRAWS, _bucket(build, progress.cursor - 1))]
-        names = [name for name in reversed(names) if _touches(draft, name, build)]
-        for name in names[:left]:
-            node: NodeRow = draft.get(NODES, name)
-            may_come = node.build == build or _in_flight(draft, name)
-            _assign(draft, name, AssignRow(good(draft, build), build) if may_come else None)
-            follow(draft, context, name)
-        if len(names) <= left:
-            progress = structs.replace(progress_of(draft, build), cursor=progress.cursor - 1)
-            draft.put(PROGRESS, str(build), progress)
-        left -= min(left, len(names))
-    if progress.drawing:
-        deadlines.at(draft, context.now_ms, deadlines.DRAW, str(build))
-
-
-def _rank(view: View, context: Context, name: str, build: int, back: bool) -> int:
-    """By the draw, whenever a node comes to it: what was opened last goes back first."""
-    release = release_of(view, build)
-    open_since = release is not None and release.state != "released"
-    since_ms = release.since_ms if release is not None and open_since else context.now_ms
-    nth = (int(targets.bucket(name), 16) - build * SPREAD) % BUCKETS
-    if back:
-        return since_ms + BUCKETS - nth
-    return since_ms + (9 - targets.ON_URGENCY) * targets.STEP_MS + nth
-
-
-def _drawn(view: View, name: str, build: int) -> bool:
-    assign: AssignRow | None = view.get(ASSIGNED, name)
-    return assign is not None and assign.build == build == assign.release
-
-
-def _touches(view: View, name: str, build: int) -> bool:
-    """Whether the way back of `build` has anything to do with the node, and hasn't done it yet."""
-    if _drawn(view, name, build):
+        bucket = list(_nodes_of_bucket(draft, build, progress.cursor - 1))
+        candidates = [node for node in reversed(bucket) if _needs_rollback(draft, node, build)]
+        for node in candidates[:remaining]:
+            _roll_back_node(draft, node, build)
+            reconcile_node(draft, context, node)
+        if len(candidates) <= remaining:
+            progress = get_progress(draft, build)
+            progress = structs.replace(progress, cursor=progress.cursor - 1)
+            put_progress(draft, build, progress)
+        remaining -= min(remaining, len(candidates))
+    if progress.assigning:
+        deadlines.schedule(draft, context.now_ms, TimerKind.CONTINUE_BATCH, str(build))
+
+
+def _roll_back_node(draft: StagedChanges, name: str, build: int) -> None:
+    """Assigns the last good build where the node runs this one or may start it, else nothing."""
+    node: NodeRow = draft.get(NODES, name)
+    if node.build == build or _is_restarting(draft, name):
+        _assign(draft, name, BuildAssignmentRow(last_good_build(draft, build), build))
+    else:
+        _assign(draft, name, None)
+
+
+def _restart_rank(view: View, context: Context, node: str, build: int, rollback: bool) -> int:
+    """By the order of buckets, whenever a node comes to it: what was assigned last is rolled back first."""
+    release = find_release(view, build)
+    is_open = release is not None and release.state != ReleaseState.RELEASED
+    since_ms = release.since_ms if release is not None and is_open else context.now_ms
+    position = (int(targets.bucket(node), 16) - build * BUCKET_OFFSET_PER_BUILD) % BUCKETS
+    if rollback:
+        return since_ms + BUCKETS - position
+    return since_ms + targets.urgency_delay_ms(targets.ROLLOUT_URGENCY) + position
+
+
+def _is_assigned(view: View, node: str, build: int) -> bool:
+    assignment = find_assignment(view, node)
+    return assignment is not None and assignment.build == build == assignment.release
+
+
+def _needs_rollback(view: View, name: str, build: int) -> bool:
+    """Whether the rollback of `build` concerns the node, and hasn't reached it yet."""
+    if _is_assigned(view, name, build):
         return True
-    assign: AssignRow | None = view.get(ASSIGNED, name)
+    assignment = find_assignment(view, name)
     node: NodeRow = view.get(NODES, name)
-    return node.build == build and (assign is None or assign.build == build)
+    return node.build == build and (assignment is None or assignment.build == build)
 
 
-def _in_flight(view: View, name: str) -> bool:
-    """Whether it is out for a restart that a release wanted."""
-    return any(one.startswith("release:") for one, _ in targets.permits_of(view, "node", name))
+def _is_restarting(view: View, node: str) -> bool:
+    """Whether it has a permit for a restart that a release wanted."""
+    opened = targets.open_permits(view, TargetKind.NODE, node)
+    return any(name.startswith(permits.RELEASE_PREFIX) for name in opened.names)
 
 
-def _assign(draft: StagedChanges, name: str, assign: AssignRow | None) -> None:
+def _assign(draft: StagedChanges, node: str, assignment: BuildAssignmentRow | None) -> None:
     """A new assignment; a restart that waited for the old one waits no more."""
-    targets.lift(draft, "node", name)
-    draft.put(ASSIGNED, name, assign)
-    standing = targets.opened(draft, "node", name)
-    targets.put_opened(draft, "node", name, structs.replace(standing, move=0, back=False))
-    targets.lay(draft, "node", name)
-
+    targets.remove_from_indexes(draft, TargetKind.NODE, node)
+    draft.put(BUILD_ASSIGNMENTS, node, assignment)
+    opened = targets.open_permits(draft, TargetKind.NODE, node)
+    without_restart = structs.replace(opened, restart_rank=0, rollback=False)
+    targets.put_open_permits(draft, TargetKind.NODE, node, without_restart)
+    targets.add_to_indexes(draft, TargetKind.NODE, node)
 
-def follow(draft: StagedChanges, context: Context, name: str) -> None:
-    """After anything about the node: what it is to run, and a restart in the queue if it doesn't.
 
-    A node that comes with a build whose release doesn't have it, or that was sent back, goes to the earlier.
-    """
+def reconcile_node(draft: StagedChanges, context: Context, name: str) -> None:
+    """After any change of the node: decides what it is to run, and queues a restart if it doesn't."""
     node: NodeRow | None = draft.get(NODES, name)
-    if node is None or node.standing == "gone":
+    if node is None or node.status == TargetStatus.DECOMMISSIONED:
         return
-    assign: AssignRow | None = draft.get(ASSIGNED, name)
-    release = release_of(draft, assign.build if assign else node.build)
-    astray = assign is None and release is not None and release.state != "released"
-    stale = assign is not None and release is not None and release.state in WAY_BACK
-    if release is not None and (astray or stale):
-        assign = AssignRow(good(draft, release.earlier), release.build)
-        _assign(draft, name, assign)
-    if assign is None:
+    assignment = _corrected_assignment(draft, name, node)
+    if assignment is None:
         return
-    standing = targets.opened(draft, "node", name)
-    wanted = assign.build != node.build and assign.tries < MOST_TRIES and not _in_flight(draft, name)
-    if wanted == bool(standing.move):
+    opened = targets.open_permits(draft, TargetKind.NODE, name)
+    wants_restart = (
+        assignment.build != node.build
+        and assignment.attempts < MAX_RESTART_ATTEMPTS
+        and not _is_restarting(draft, name)
+    )
+    if wants_restart == bool(opened.restart_rank):
         return
-    move, back = 0, False
-    if wanted:
-        back = assign.build != assign.release
-        move = _rank(draft, context, name, assign.release, back)
-    targets.lift(draft, "node", name)
-    targets.put_opened(draft, "node", name, structs.replace(standing, move=move, back=back))
-    targets.lay(draft, "node", name)
+    restart_rank = 0
+    rollback = False
+    if wants_restart:
+        rollback = assignment.build != assignment.release
+        restart_rank = _restart_rank(draft, context, name, assignment.release, rollback)
+    targets.remove_from_indexes(draft, TargetKind.NODE, name)
+    changed = structs.replace(opened, restart_rank=restart_rank, rollback=rollback)
+    targets.put_open_permits(draft, TargetKind.NODE, name, changed)
+    targets.add_to_indexes(draft, TargetKind.NODE, name)
+
+
+def _corrected_assignment(draft: StagedChanges, name: str, node: NodeRow) -> BuildAssignmentRow | None:
+    """The node's assignment; a new one where its build is not released to it or was rolled back."""
+    assignment = find_assignment(draft, name)
+    release = find_release(draft, assignment.build if assignment else node.build)
+    if release is None:
+        return assignment
+    is_unreleased = assignment is None and release.state != ReleaseState.RELEASED
+    is_rolled_back = assignment is not None and release.state in ROLLBACK_STATES
+    if is_unreleased or is_rolled_back:
+        assignment = BuildAssignmentRow(last_good_build(draft, release.previous_build), release.build)
+        _assign(draft, name, assignment)
+    return assignment
--- a/brookreach/disruption/commands.py
+++ b/brookreach/disruption/commands.py
@@ -1,67 +1,89 @@
-"""What may be asked of the fleet about outages and releases, and by whom. Sizes are bounded here."""
+"""Commands about planned disruptions and releases: their fields and bounds, and who may send each.
+
+A command is stored as a map under its tag, by the names of its fields; a renamed class keeps its tag, a renamed
+field its stored name.
+"""
 
 from __future__ import annotations
 
-from typing import Annotated, Literal
+from typing import Annotated
 
 import msgspec
 
 from brookreach.coordination.protocol.messages import Count, Name, Text
 from brookreach.coordination.protocol.tags import wire_name
 from brookreach.coordination.state_machine.application import Command, CommandRejectedError, Context
+from brookreach.disruption.states import TargetKind, TargetStatus, Verdict
+
+# Lengths are such that the longest key of all tables stays under the 200 characters that a table takes.
+MAX_PERMIT_NAME_LENGTH = 96  # of a permit that a client requests; a release's are longer, and never wait by name
+MAX_ANY_PERMIT_NAME_LENGTH = 110
+MAX_SOAK_MS = 7 * 86_400_000
+MAX_INSTANT_MS = 1 << 53
 
 Scope = Annotated[str, msgspec.Meta(max_length=80, pattern=r"^(all|build:[0-9]+|(zone|service):[A-Za-z0-9._-]+)\Z")]
-# Lengths are such that the longest key of all tables stays under the 200 characters that the ground takes.
-MOST_NAME = 96  # of a permit that somebody asks for; a release's are longer, and never wait under their names
-Asked = Annotated[str, msgspec.Meta(min_length=1, max_length=MOST_NAME, pattern=r"^[A-Za-z0-9._-]+\Z")]
-PermitName = Annotated[str, msgspec.Meta(min_length=1, max_length=110, pattern=r"^[A-Za-z0-9._:-]+\Z")]
-Place = Annotated[str, msgspec.Meta(min_length=1, max_length=24, pattern=r"^[A-Za-z0-9._-]+\Z")]
+RequestedPermitName = Annotated[
+    str, msgspec.Meta(min_length=1, max_length=MAX_PERMIT_NAME_LENGTH, pattern=r"^[A-Za-z0-9._-]+\Z")
+]
+PermitName = Annotated[
+    str, msgspec.Meta(min_length=1, max_length=MAX_ANY_PERMIT_NAME_LENGTH, pattern=r"^[A-Za-z0-9._:-]+\Z")
+]
+Label = Annotated[str, msgspec.Meta(min_length=1, max_length=24, pattern=r"^[A-Za-z0-9._-]+\Z")]
 Urgency = Annotated[int, msgspec.Meta(ge=0, le=9)]
 Thousandths = Annotated[int, msgspec.Meta(ge=0, le=1000)]
-Stages = Annotated[tuple[Thousandths, ...], msgspec.Meta(min_length=1, max_length=16)]
-Wait = Annotated[int, msgspec.Meta(ge=0, le=7 * 86_400_000)]
-Voices = Annotated[int, msgspec.Meta(ge=1, le=1000)]
+StageThousandths = Annotated[tuple[Thousandths, ...], msgspec.Meta(min_length=1, max_length=16)]
+StageNumber = Annotated[int, msgspec.Meta(ge=1, le=16)]
+SoakTime = Annotated[int, msgspec.Meta(ge=0, le=MAX_SOAK_MS)]
+VoteCount = Annotated[int, msgspec.Meta(ge=1, le=1000)]
+OptionalVoteCount = Annotated[int, msgspec.Meta(ge=0, le=1000)]
+InstantMs = Annotated[int, msgspec.Meta(ge=1, le=MAX_INSTANT_MS)]
 
 
-class BudgetFor(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One line of the operators' file."""
+class BudgetEntry(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """One budget of the operators' file: most targets unavailable at once, and least ready."""
 
-    kind: Literal["node", "marshal"]
+    kind: TargetKind
     scope: Scope
-    most_out: Count
-    least_ready: Count
+    max_unavailable: Count = msgspec.field(name="most_out")
+    min_ready: Count = msgspec.field(name="least_ready")
 
 
 class SetBudgets(Command, frozen=True):
     """All budgets; they replace those that stand."""
 
-    rows: Annotated[tuple[BudgetFor, ...], msgspec.Meta(max_length=512)]
+    rows: Annotated[tuple[BudgetEntry, ...], msgspec.Meta(max_length=512)]
+
 
+class RequestDrain(Command, frozen=True, tag="AskDrain"):
+    """An operator asks for a permit to drain and restart a node."""
 
-class AskDrain(Command, frozen=True):
-    name: Asked
+    name: RequestedPermitName
     node: Name
     urgency: Urgency
     reason: Text
 
 
-class AskRestart(Command, frozen=True):
-    name: Asked
-    marshal: Name
+class RequestRestart(Command, frozen=True, tag="AskRestart"):
+    """An operator or the balancer itself asks for a permit to restart it."""
+
+    name: RequestedPermitName
+    balancer: Name = msgspec.field(name="marshal")
     urgency: Urgency
     reason: Text = ""
 
 
-class TakeBack(Command, frozen=True):
+class WithdrawPermit(Command, frozen=True, tag="TakeBack"):
+    """The disruption is not wanted any more, whether it waits or is granted."""
+
     name: PermitName
     reason: Text
 
 
 class Halt(Command, frozen=True):
-    """Nothing more goes out. `way_back`: but nodes of a build that was sent back."""
+    """Nothing more is granted; with `allows_rollback`, except restarts of a rollback."""
 
     reason: Text
-    way_back: bool = False
+    allows_rollback: bool = msgspec.field(name="way_back", default=False)
 
 
 class Resume(Command, frozen=True):
@@ -71,113 +93,132 @@
     reason: Text
 
 
-class Gone(Command, frozen=True):
-    """It will not come back: no longer of the fleet, and its permits are over. The operator's word for it."""
+class Decommission(Command, frozen=True, tag="Gone"):
+    """The target will not come back: it leaves the fleet and its permits end."""
 
-    kind: Literal["node", "marshal"]
+    kind: TargetKind
     name: Name
     reason: Text
 
 
-class BeginRelease(Command, frozen=True):
+class StartRelease(Command, frozen=True, tag="BeginRelease"):
+    """Release a build by stages; the fields are those of `tables.ReleaseRow`."""
+
     build: Count
-    earlier: Count
-    shares: Stages
-    caps: Stages
-    wait_ms: Wait
-    back_votes: Voices
-    on_votes: Annotated[int, msgspec.Meta(ge=0, le=1000)]
+    previous_build: Count = msgspec.field(name="earlier")
+    node_shares: StageThousandths = msgspec.field(name="shares")
+    traffic_caps: StageThousandths = msgspec.field(name="caps")
+    soak_ms: SoakTime = msgspec.field(name="wait_ms")
+    rollback_votes_needed: VoteCount = msgspec.field(name="back_votes")
+    promote_votes_needed: OptionalVoteCount = msgspec.field(name="on_votes")
 
 
-class SendBack(Command, frozen=True):
+class RollBackRelease(Command, frozen=True, tag="SendBack"):
+    """Roll a build back from whatever stage."""
+
     build: Count
     reason: Text
 
 
-class NodeSeen(Command, frozen=True):
-    """`heard`: the place of the log that the agent's mirror had come to when it looked at its node."""
+class ReportNode(Command, frozen=True, tag="NodeSeen"):
+    """An agent about its node. `applied_index`: the log index that its cache had applied when it looked."""
 
     node: Name
-    zone: Place
+    zone: Label
     build: Count
-    service: Place
-    room: Count
-    standing: Literal["ready", "cold", "draining", "down", "gone"]
-    life: Count
+    service: Label
+    capacity: Count = msgspec.field(name="room")
+    status: TargetStatus = msgspec.field(name="standing")
+    incarnation: Count = msgspec.field(name="life")
     warm: bool
-    heard: Count
+    applied_index: Count = msgspec.field(name="heard")
 
 
-class MarshalSeen(Command, frozen=True):
-    """A marshal about itself. Its session stands for its life."""
+class ReportBalancer(Command, frozen=True, tag="MarshalSeen"):
+    """A balancer about itself. Its session stands for its incarnation."""
 
-    marshal: Name
-    zone: Place
+    balancer: Name = msgspec.field(name="marshal")
+    zone: Label
     build: Count
-    service: Place
-    standing: Literal["ready", "cold", "draining", "down", "gone"]
+    service: Label
+    status: TargetStatus = msgspec.field(name="standing")
     warm: bool
-    heard: Count
+    applied_index: Count = msgspec.field(name="heard")
 
 
-class RetirementNotice(Command, frozen=True):
+class AnnounceRetirement(Command, frozen=True, tag="RetirementNotice"):
     """The node is taken away at that time. A later notice replaces an earlier one, whichever way it moves."""
 
     node: Name
-    at_ms: Annotated[int, msgspec.Meta(ge=1, le=1 << 53)]
+    at_ms: InstantMs
+
 
+class WithdrawRetirement(Command, frozen=True, tag="RetirementWithdrawn"):
+    """The node stays after all."""
 
-class RetirementWithdrawn(Command, frozen=True):
     node: Name
 
 
-class Voted(Command, frozen=True):
-    """A marshal's verdict on a build in a stage. Its next one replaces it, but back stays back."""
+class CastVote(Command, frozen=True, tag="Voted"):
+    """A balancer's verdict on a build in a stage. Its next one replaces it, but a rollback vote stays."""
 
     build: Count
-    stage: Annotated[int, msgspec.Meta(ge=1, le=16)]
-    verdict: Literal["on", "hold", "back"]
+    stage: StageNumber
+    verdict: Verdict
 
 
-Orders = (
+Commands = (
     SetBudgets
-    | AskDrain
-    | AskRestart
-    | TakeBack
+    | RequestDrain
+    | RequestRestart
+    | WithdrawPermit
     | Halt
     | Resume
-    | Gone
-    | BeginRelease
-    | SendBack
-    | NodeSeen
-    | MarshalSeen
-    | RetirementNotice
-    | RetirementWithdrawn
-    | Voted
+    | Decommission
+    | StartRelease
+    | RollBackRelease
+    | ReportNode
+    | ReportBalancer
+    | AnnounceRetirement
+    | WithdrawRetirement
+    | CastVote
 )
 
-OPERATORS = (SetBudgets, AskDrain, TakeBack, Halt, Resume, Gone, BeginRelease, SendBack)
-
-
-def may(order: Orders, context: Context) -> None:
-    """Refused where it is not the sender's to say: each agent and marshal speaks for itself only."""
-    who = context.client_kind
-    if isinstance(order, OPERATORS):
-        own = isinstance(order, TakeBack) and who == "marshal"  # `permits` looks whose it is
-        good = who == "operator" or own
-        allowed = "operators"
-    elif isinstance(order, NodeSeen):
-        good, allowed = who == "agent" and order.node == context.client, f"the agent of {order.node}"
-    elif isinstance(order, (RetirementNotice, RetirementWithdrawn)):
-        good = who == "operator" or (who == "agent" and order.node == context.client)
-        allowed = f"operators and the agent of {order.node}"
-    elif isinstance(order, MarshalSeen):
-        good, allowed = who == "marshal" and order.marshal == context.client, f"{order.marshal} itself"
-    elif isinstance(order, AskRestart):
-        good = who == "operator" or (who == "marshal" and order.marshal == context.client)
-        allowed = f"operators and {order.marshal} itself"
-    else:
-        good, allowed = who == "marshal", "marshals"
-    if not good:
+
+def check_sender(command: Command, context: Context) -> None:
+    """Checks that the client may send this: each agent and balancer speaks for itself only.
+
+    Raises:
+        CommandRejectedError: it may not.
+    """
+    by_operator = context.client_kind == "operator"
+    by_balancer = context.client_kind == "marshal"
+    match command:
+        case ReportNode(node=node):
+            permitted = _is_agent_of(node, context)
+            allowed = f"the agent of {node}"
+        case AnnounceRetirement(node=node) | WithdrawRetirement(node=node):
+            permitted = by_operator or _is_agent_of(node, context)
+            allowed = f"operators and the agent of {node}"
+        case ReportBalancer(balancer=balancer):
+            permitted = by_balancer and balancer == context.client
+            allowed = f"{balancer} itself"
+        case RequestRestart(balancer=balancer):
+            permitted = by_operator or (by_balancer and balancer == context.client)
+            allowed = f"operators and {balancer} itself"
+        case CastVote():
+            permitted = by_balancer
+            allowed = "marshals"
+        case WithdrawPermit():  # the application checks whose permit it is
+            permitted = by_operator or by_balancer
+            allowed = "operators"
+        case _:
+            permitted = by_operator
+            allowed = "operators"
+    if not permitted:
         sender = f"{context.client_kind or 'the group'} {context.client!r}"
-        raise CommandRejectedError(f"{wire_name(order)} of {sender}: {allowed} may say it")
+        raise CommandRejectedError(f"{wire_name(command)} of {sender}: {allowed} may say it")
+
+
+def _is_agent_of(node: str, context: Context) -> bool:
+    return context.client_kind == "agent" and context.client == node
--- a/brookreach/disruption/deadlines.py
+++ b/brookreach/disruption/deadlines.py
@@ -1,42 +1,63 @@
-"""What time alone will change, as rows in the order of their times; so the next one is the first row.
+"""Timers: what time alone will change, as rows in the order of their times, so the next one is the first row.
 
-It owns no meaning: what is due is handed to `piece`. A time that no longer matters may stay: whoever is
-called by it looks at what stands.
+What a timer means is known to the application, which handles those that are due. A timer that no longer matters may
+stay: its handler looks at the state as it is.
 """
 
 from __future__ import annotations
 
+from enum import StrEnum
+
 from brookreach.coordination.state_machine.application import StagedChanges, View
-from brookreach.disruption.internal_tables import DUE, DueRow, first, ordered
+from brookreach.disruption.internal_tables import TIMERS, TimerRow, first_row, iterate_rows
+
+MAX_TIMERS_PER_RECORD = 32  # the others are due at once, in the next record
+TIME_DIGITS = 16  # keys order by time as text
+
+
+class TimerKind(StrEnum):
+    """What a timer does when it is due; its name says to which permit, target or build."""
+
+    MARK_OVERDUE = "late"
+    FORGET_PERMIT = "forget"
+    FORGET_TARGET = "node"
+    FORGET_VOTES = "votes"
+    ADVANCE_STAGE = "stage"
+    CONTINUE_BATCH = "draw"
+    GRANT_WAITING = "serve"
+
 
-LATE, FORGET, NODE, VOTES, STAGE, DRAW, SERVE = "late", "forget", "node", "votes", "stage", "draw", "serve"
-MOST_AT_ONCE = 32  # of them in one record; the rest is due at once
+def _key(due_ms: int, kind: TimerKind, name: str) -> str:
+    return f"{due_ms:0{TIME_DIGITS}d}/{kind}/{name}"
 
 
-def _key(ms: int, what: str, name: str) -> str:
-    return f"{ms:016d}/{what}/{name}"
+def _due_ms(key: str) -> int:
+    return int(key[:TIME_DIGITS])
 
 
-def at(draft: StagedChanges, ms: int, what: str, name: str) -> None:
-    draft.put(DUE, _key(ms, what, name), DueRow(what, name))
+def schedule(draft: StagedChanges, due_ms: int, kind: TimerKind, name: str) -> None:
+    """Adds a timer; the same one again changes nothing."""
+    draft.put(TIMERS, _key(due_ms, kind, name), TimerRow(str(kind), name))
 
 
-def off(draft: StagedChanges, ms: int, what: str, name: str) -> None:
-    draft.put(DUE, _key(ms, what, name), None)
+def cancel(draft: StagedChanges, due_ms: int, kind: TimerKind, name: str) -> None:
+    """Removes a timer, if there is one."""
+    draft.put(TIMERS, _key(due_ms, kind, name), None)
 
 
-def next_ms(view: View) -> int | None:
-    found = first(view, DUE)
-    return int(found[0][:16]) if found else None
+def next_timer_ms(view: View) -> int | None:
+    """When the next timer is due; None: there is none."""
+    found = first_row(view, TIMERS)
+    return _due_ms(found[0]) if found else None
 
 
-def taken(draft: StagedChanges, at_ms: int) -> list[DueRow]:
-    """Those whose time has come, out of the table."""
-    came: list[tuple[str, DueRow]] = []
-    for key, row in ordered(draft, DUE):
-        if int(key[:16]) > at_ms or len(came) == MOST_AT_ONCE:
+def pop_due(draft: StagedChanges, now_ms: int) -> list[TimerRow]:
+    """Removes and returns timers that are due, at most `MAX_TIMERS_PER_RECORD`."""
+    due: list[tuple[str, TimerRow]] = []
+    for key, row in iterate_rows(draft, TIMERS):
+        if _due_ms(key) > now_ms or len(due) == MAX_TIMERS_PER_RECORD:
             break
-        came.append((key, row))
-    for key, _ in came:
-        draft.put(DUE, key, None)
-    return [row for _, row in came]
+        due.append((key, row))
+    for key, _ in due:
+        draft.put(TIMERS, key, None)
+    return [row for _, row in due]
--- a/brookreach/disruption/endpoint_overlay.py
+++ b/brookreach/disruption/endpoint_overlay.py
@@ -1,97 +1,106 @@
-"""Agreed drains between discovery and the driver: a marshal hears them as it hears discovery's.
+"""Agreed drains between discovery and the driver: a balancer is notified of them as of discovery's changes.
 
-It owns which nodes are shown as draining though discovery shows them as ready. It must never show a node as
-better than discovery does, and never wait: without keepers what was agreed last stands.
+This module owns which nodes are shown as draining though discovery lists them as ready. It must never show a node as
+better than discovery does, and never wait: without replicas what was agreed last stands.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping
+from collections.abc import Callable, Mapping, Sequence
 from dataclasses import replace
 
-from brookreach import interface as ifc
 from brookreach.coordination.client.events import RowsChanged
 from brookreach.coordination.state_machine.application import View
+from brookreach.disruption.states import ACTIVE_STATES, PermitAction
 from brookreach.disruption.tables import NODES, PERMITS, NodeRow, PermitRow
-from brookreach.disruption.targets import OUT
+from brookreach.interface import ListKind, NodeList, NodeState
 from brookreach.net.link import Listed
 
-DRAINING, GONE, READY = ifc.NodeState.DRAINING, ifc.NodeState.GONE, ifc.NodeState.READY
-Told = Callable[[ifc.NodeList, list[Listed]], None]
+EndpointListener = Callable[[NodeList, list[Listed]], None]
 
 
-class Agreed:
-    """Nodes that are to be drained, kept from changes of a mirror.
+class AgreedDrains:
+    """Nodes that are to be drained, kept from changes of a cached copy of the tables.
 
-    A drain holds from when its permit is given until that is over, or the node is seen in a later life: then
-    it has gone and come back, and may have what discovery and its coldness allow. One that is taken back
-    holds until its agent has said that it stays.
+    A drain holds from its grant until its permit ends, or the node is seen in a later incarnation: then it was down
+    and has come back, and may have what discovery and its warm-up allow. A withdrawn one holds until its agent has
+    said that the node stays.
     """
 
     def __init__(self) -> None:
-        self.permits: dict[str, PermitRow] = {}  # drains that are out, by name
+        self.permits: dict[str, PermitRow] = {}  # active drains, by name
 
     def take(self, view: View, changed: RowsChanged) -> frozenset[str]:
+        """Takes in changed rows, which `view` has already; returns the nodes to be drained now."""
         if changed.whole:
-            self.permits = {name: row for name, row in view.rows(PERMITS) if self._drains(row)}
+            self.permits = {name: row for name, row in view.rows(PERMITS) if self._is_active_drain(row)}
         else:
-            for put in changed.updates:
-                if put.table == PERMITS:
-                    self.permits.pop(put.key, None)
-                    if isinstance(put.row, PermitRow) and self._drains(put.row):
-                        self.permits[put.key] = put.row
+            for update in changed.updates:
+                if update.table != PERMITS:
+                    continue
+                self.permits.pop(update.key, None)
+                if isinstance(update.row, PermitRow) and self._is_active_drain(update.row):
+                    self.permits[update.key] = update.row
         return frozenset(row.target for row in self.permits.values() if not self._came_back(view, row))
 
     @staticmethod
-    def _drains(row: PermitRow) -> bool:
-        return row.what == "drain" and row.state in OUT
+    def _is_active_drain(row: PermitRow) -> bool:
+        return row.action == PermitAction.DRAIN and row.state in ACTIVE_STATES
 
     @staticmethod
     def _came_back(view: View, permit: PermitRow) -> bool:
         node: NodeRow | None = view.get(NODES, permit.target)
-        return node is not None and node.life > permit.life
+        return node is not None and node.incarnation > permit.incarnation
 
 
-class Overlay:
-    """Stands where the driver stood: `numbers` are discovery's, by nodes' ids, `forward` is the driver's."""
+class EndpointOverlay:
+    """Stands between discovery and the driver.
 
-    def __init__(self, numbers: Callable[[], Mapping[str, int]], forward: Told):
-        self.numbers, self.forward = numbers, forward
-        self.stands: dict[int, Listed] = {}  # as discovery has it
-        self.names: frozenset[str] = frozenset()
+    Args:
+        endpoint_numbers: Returns discovery's number of each endpoint, by node.
+        forward: The driver's listener.
+    """
+
+    def __init__(self, endpoint_numbers: Callable[[], Mapping[str, int]], forward: EndpointListener):
+        self.endpoint_numbers = endpoint_numbers
+        self.forward = forward
+        self.endpoints: dict[int, Listed] = {}  # as discovery lists them
+        self.drained: frozenset[str] = frozenset()  # nodes
         self.version = 0
 
-    def told(self, listing: ifc.NodeList, listed: list[Listed]) -> None:
-        """By discovery."""
-        if listing.kind != ifc.ListKind.DELTA:
-            self.stands.clear()
-        for one in listed:
-            self.stands[one.entry.node] = one
-            if one.entry.state == GONE:
-                del self.stands[one.entry.node]
+    def on_listing(self, listing: NodeList, listed: Sequence[Listed]) -> None:
+        """Discovery lists endpoints: all, or those that changed."""
+        if listing.kind != ListKind.DELTA:
+            self.endpoints.clear()
+        for endpoint in listed:
+            if endpoint.entry.state == NodeState.GONE:
+                self.endpoints.pop(endpoint.entry.node, None)
+            else:
+                self.endpoints[endpoint.entry.node] = endpoint
         self.version = listing.version
-        away = self._away(self.names)
-        shown = [self._shown(one, away) for one in listed]
-        self.forward(replace(listing, entries=tuple(one.entry for one in shown)), shown)
-
-    def agreed(self, names: frozenset[str]) -> list[str]:
-        """What the fleet has agreed now; the nodes that are shown otherwise than before, in their order."""
-        before, after = self._away(self.names), self._away(names)
-        self.names = names
-        moved = [self.stands[number] for number in sorted(before ^ after) if number in self.stands]
-        shown = [self._shown(one, after) for one in moved if one.entry.state == READY]
+        draining = self._numbers_of(self.drained)
+        shown = [self._shown(endpoint, draining) for endpoint in listed]
+        self.forward(replace(listing, entries=tuple(endpoint.entry for endpoint in shown)), shown)
+
+    def set_drained(self, nodes: frozenset[str]) -> list[str]:
+        """Replaces the drained nodes; returns those that are shown otherwise than before, in their order."""
+        before = self._numbers_of(self.drained)
+        after = self._numbers_of(nodes)
+        self.drained = nodes
+        changed = [self.endpoints[number] for number in sorted(before ^ after) if number in self.endpoints]
+        shown = [self._shown(endpoint, after) for endpoint in changed if endpoint.entry.state == NodeState.READY]
         if shown:
-            entries = tuple(one.entry for one in shown)
-            self.forward(ifc.NodeList(ifc.ListKind.DELTA, self.version, entries), shown)
-        by_number = {number: name for name, number in self.numbers().items()}
-        return [by_number.get(one.entry.node, "") for one in shown]
+            entries = tuple(endpoint.entry for endpoint in shown)
+            self.forward(NodeList(ListKind.DELTA, self.version, entries), shown)
+        names = {number: name for name, number in self.endpoint_numbers().items()}
+        return [names.get(endpoint.entry.node, "") for endpoint in shown]
 
-    def _away(self, names: frozenset[str]) -> set[int]:
-        numbers = self.numbers()
-        return {numbers[name] for name in names if name in numbers}
+    def _numbers_of(self, nodes: frozenset[str]) -> set[int]:
+        numbers = self.endpoint_numbers()
+        return {numbers[name] for name in nodes if name in numbers}
 
     @staticmethod
-    def _shown(one: Listed, away: set[int]) -> Listed:
-        if one.entry.node not in away or one.entry.state != READY:
-            return one
-        return Listed(replace(one.entry, state=DRAINING), one.address)
+    def _shown(endpoint: Listed, draining: set[int]) -> Listed:
+        if endpoint.entry.node not in draining or endpoint.entry.state != NodeState.READY:
+            return endpoint
+        return Listed(replace(endpoint.entry, state=NodeState.DRAINING), endpoint.address)
--- a/brookreach/disruption/halt.py
+++ b/brookreach/disruption/halt.py
@@ -1,7 +1,7 @@
-"""The halt: one row, which stands until a resume names it.
+"""The halt: one row, which stands until a resume names its fence.
 
-It owns that row. While it stands nothing is given and no stage opens; what is out may come back, and what
-was given may be taken back. It must never be lifted by a time, a resume of an earlier halt, or a new leader.
+While it stands nothing is granted and no stage opens; what is unavailable may come back, and granted permits may be
+withdrawn. It must never be removed by a time, by a resume of an earlier halt, or by a new leader.
 """
 
 from __future__ import annotations
@@ -9,24 +9,30 @@
 from brookreach.coordination.state_machine.application import CommandRejectedError, Context, StagedChanges, View
 from brookreach.disruption.tables import HALT, HaltRow
 
-ALL = "all"
+HALT_KEY = "all"
 
 
-def halted(view: View) -> HaltRow | None:
-    found: HaltRow | None = view.get(HALT, ALL)
+def current_halt(view: View) -> HaltRow | None:
+    """The halt that stands; None: there is none."""
+    found: HaltRow | None = view.get(HALT, HALT_KEY)
     return found
 
 
-def halt(draft: StagedChanges, context: Context, by: str, reason: str, way_back: bool) -> None:
-    """A second one takes the first's place with a fence of its own, and is at least as strict."""
-    old = halted(draft)
+def start_halt(draft: StagedChanges, context: Context, by: str, reason: str, allows_rollback: bool) -> None:
+    """Halts the fleet. A second halt replaces the first with a fence of its own, and is at least as strict."""
+    old = current_halt(draft)
     if old is not None:
-        way_back = way_back and old.way_back
-    draft.put(HALT, ALL, HaltRow(context.index, by, context.now_ms, reason, way_back))
+        allows_rollback = allows_rollback and old.allows_rollback
+    draft.put(HALT, HALT_KEY, HaltRow(context.index, by, context.now_ms, reason, allows_rollback))
 
 
-def lift(draft: StagedChanges, fence: int) -> None:
-    old = halted(draft)
+def resume(draft: StagedChanges, fence: int) -> None:
+    """Removes the halt with this fence.
+
+    Raises:
+        CommandRejectedError: no halt stands, or one with another fence.
+    """
+    old = current_halt(draft)
     if old is None:
         raise CommandRejectedError(f"a resume of halt {fence}: nothing is halted")
     if old.fence != fence:
@@ -34,4 +40,4 @@
             f"a resume of halt {fence}, which is not the one that stands: that is {old.fence}, "
             f"by {old.by} ({old.reason})"
         )
-    draft.put(HALT, ALL, None)
+    draft.put(HALT, HALT_KEY, None)
--- a/brookreach/disruption/internal_tables.py
+++ b/brookreach/disruption/internal_tables.py
@@ -1,7 +1,8 @@
-"""The tables that only this piece reads: counts, indexes, what is due; and how they are read in order.
+"""Tables that only this application reads: counts, indexes and timers; and how rows are read in key order.
 
-All of COUNTS, WAITS, LINES, HELD and DRAWS follows from the tables of `rows`, OPEN and PROGRESS, and is never
-changed but by `targets`. None may be walked whole for one record: a record costs by what it changes.
+COUNTS, QUEUE_ENTRIES, QUEUES, GRANTED_PERMITS and ROLLOUT_ORDER follow from the public tables, OPEN_PERMITS
+and PROGRESS; `targets` alone changes them. None may be walked whole for one record: the cost of a record is by what
+it changes.
 """
 
 from __future__ import annotations
@@ -9,110 +10,131 @@
 import heapq
 from collections.abc import Iterator
 from itertools import groupby
-from typing import Any
+from operator import itemgetter
+from typing import Any  # a row's type follows from its table's name, which the type checker doesn't know
 
 from brookreach.coordination.state_machine.application import Row, StagedChanges, View
 
-COUNTS, OPEN, WAITS, LINES, HELD, DRAWS, DUE, PROGRESS, VOTES = (
-    "outages.counts",
-    "outages.open",
-    "outages.waits",
-    "outages.lines",
-    "outages.held",
-    "outages.draws",
-    "outages.due",
-    "outages.progress",
-    "outages.votes",
-)
+COUNTS = "outages.counts"
+OPEN_PERMITS = "outages.open"
+QUEUE_ENTRIES = "outages.waits"
+QUEUES = "outages.lines"
+GRANTED_PERMITS = "outages.held"
+ROLLOUT_ORDER = "outages.draws"
+TIMERS = "outages.due"
+PROGRESS = "outages.progress"
+VOTES = "outages.votes"
+
+STAGED, STORED = 0, 1  # of two rows with the same key the staged one comes first
 
 
 class CountRow(Row, frozen=True):
-    """By "kind/scope": those of the fleet (not gone), and how many are out, planned or not, each once."""
+    """By "kind/scope": targets that are not decommissioned, and those unavailable, planned or not, each once."""
 
     total: int
-    out: int
+    unavailable: int
+
 
+class OpenPermitsRow(Row, frozen=True):
+    """By "kind/target": permits that have not ended.
 
-class OpenRow(Row, frozen=True):
-    """By "kind/target": permits not over. `move`: rank of a restart that a release wants; 0: none."""
+    Attributes:
+        names: Of the permits.
+        restart_rank: Rank of a restart that a release wants; 0: none.
+        rollback: That restart is one of a rollback.
+    """
 
     names: tuple[str, ...] = ()
-    move: int = 0
-    back: bool = False  # the move is one of the way back
+    restart_rank: int = 0
+    rollback: bool = False
 
 
-class WaitRow(Row, frozen=True):
-    """By "line/rank/name": what waits. No `name`: a release's restart, whose permit is made when given."""
+class QueueEntryRow(Row, frozen=True):
+    """By "queue/rank/permit": what waits. No `permit`: a release's restart, whose permit is made when granted."""
 
     target: str
-    name: str
+    permit: str
 
 
-class LineRow(Row, frozen=True):
-    """By "kind/way/where/zone/build/service": those that wait alike, so that one of them speaks for all."""
+class QueueRow(Row, frozen=True):
+    """By "kind/direction/availability/zone/build/service": how many wait that need the same capacity."""
 
     waiting: int
 
 
-class HeldRow(Row, frozen=True):
-    """By "kind/scope/rank/name", latest rank first: permits given that are not late."""
+class GrantedPermitRow(Row, frozen=True):
+    """By "kind/scope/inverse rank/permit", latest rank first: permits granted that are not overdue."""
 
     target: str
 
 
-class DrawRow(Row, frozen=True):
-    """By "bucket/node": the order, alike on all processes, in which a release takes nodes."""
+class RolloutOrderRow(Row, frozen=True):
+    """By "bucket/node": the order, the same on all replicas, in which a release takes nodes."""
 
     node: str
 
 
-class DueRow(Row, frozen=True):
-    """By "ms/what/name": what time alone will change."""
+class TimerRow(Row, frozen=True):
+    """By "ms/kind/name": what time alone will change."""
 
-    what: str
+    kind: str
     name: str
 
 
 class ProgressRow(Row, frozen=True):
-    """By build, beside its release: how far the stage that is open has come."""
+    """By build, beside its release: how far the open stage has come.
+
+    Attributes:
+        target_nodes: Nodes that the stage is to have.
+        cursor: Buckets looked through, in a rollout or a rollback.
+        assigning: Nodes are still being assigned or unassigned.
+        assigned: Nodes assigned to the build.
+        ready: Of these, ready and warm on it.
+        all_ready_ms: Since when all of them are; 0: not all.
+        promote_votes: Votes to promote in this stage.
+        rollback_votes: Votes to roll back, of whatever stage.
+    """
 
-    target: int = 0  # nodes that the stage is to have
-    cursor: int = 0  # buckets looked through, on the way there or back
-    drawing: bool = False
-    drawn: int = 0  # nodes assigned to the build
-    there: int = 0  # of these, ready and warm on it
-    there_ms: int = 0  # since when all are; 0: not all
-    on: int = 0  # votes in this stage
-    back: int = 0  # votes, of whatever stage
+    target_nodes: int = 0
+    cursor: int = 0
+    assigning: bool = False
+    assigned: int = 0
+    ready: int = 0
+    all_ready_ms: int = 0
+    promote_votes: int = 0
+    rollback_votes: int = 0
 
 
 class VoteRow(Row, frozen=True):
-    """By "build/marshal": its voice."""
+    """By "build/balancer": its vote."""
 
     stage: int
     verdict: str
     session: int
 
 
-def ordered(view: View, table: str, prefix: str = "") -> Iterator[tuple[str, Any]]:
+def iterate_rows(view: View, table: str, prefix: str = "") -> Iterator[tuple[str, Any]]:
     """Rows by key. Where the view can walk them, the rest isn't read when only the first are taken.
 
-    The view under a record's draft doesn't change while the record is applied, so walking it is safe.
+    The view under a record's staged changes doesn't change while the record is applied, so walking it is safe.
     """
     if not isinstance(view, StagedChanges):
         yield from getattr(view, "walk", view.rows)(table, prefix)
         return
-    laid = sorted((key, 0, row) for (name, key), row in view.over.items() if name == table and key.startswith(prefix))
-    if not laid:
-        yield from ordered(view.under, table, prefix)
+    staged = sorted(
+        (key, STAGED, row) for (name, key), row in view.over.items() if name == table and key.startswith(prefix)
+    )
+    if not staged:
+        yield from iterate_rows(view.under, table, prefix)
         return
-    under = ((key, 1, row) for key, row in ordered(view.under, table, prefix))
-    merged = heapq.merge(laid, under, key=lambda one: one[:2])
-    for key, same in groupby(merged, key=lambda one: one[0]):
-        row = next(same)[2]
+    stored = ((key, STORED, row) for key, row in iterate_rows(view.under, table, prefix))
+    merged = heapq.merge(staged, stored, key=itemgetter(0, 1))
+    for key, same_key in groupby(merged, key=itemgetter(0)):
+        _, _, row = next(same_key)
         if row is not None:
             yield key, row
 
 
-def first(view: View, table: str, prefix: str = "") -> tuple[str, Any] | None:
-    return next(ordered(view, table, prefix), None)
+def first_row(view: View, table: str, prefix: str = "") -> tuple[str, Any] | None:
+    """The row with the lowest key and that key; None where the table has none with the prefix."""
+    return next(iterate_rows(view, table, prefix), None)
--- a/brookreach/disruption/queue.py
+++ b/brookreach/disruption/queue.py
@@ -1,129 +1,174 @@
-"""Who is next: drains, restarts, moves and a release's restarts in one queue, a line for those alike.
+"""Which entry is next: drains, restarts, migrations and a release's restarts wait in one order.
 
-It owns the order and never gives anything itself. Targets of one zone, build and service need the same room,
-so the first of a line speaks for all of it, and a record costs by lines, not by those that wait.
+This module owns the order and grants nothing itself. Targets of one zone, build and service need the same places in
+budgets, so they share a queue whose first entry speaks for all of it, and a record costs by queues, not by entries.
 
-Order: by rank, which is the time of asking less `STEP_MS` for each urgency. Among those that can go and rank
-within `GRACE_MS` of the first, the one whose scopes have the most waiting for what they allow goes first:
-else a fleet that is drained zone by zone ends with one zone alone. One that can't go stands in no way. But if
-it could go were it not for permits that rank more than `GRACE_MS` after it, it claims a place in each of its
-scopes, and those behind it may only have what is left. Permits that are late (out for an hour) are not waited
-for in this way, so one that vanished can't hold places free for ever. Only one claims at a time, the first.
+The order is by rank, which is the time of the request less `MS_PER_URGENCY` for each urgency. Among those that can
+be granted and rank within `GRACE_MS` of the first, the one whose scopes have the most waiting for what they allow goes
+first: else a fleet that is drained zone by zone ends with one zone alone. One that can't be granted blocks nobody. But
+if it could be, were it not for permits that rank more than `GRACE_MS` after it, it reserves a place in each of its
+scopes, and those behind it may only have what is left. Permits that are overdue are not waited for in this way, so one
+whose target vanished can't keep places free for ever. Only one entry reserves at a time, the first.
 """
 
 from __future__ import annotations
 
+from collections import defaultdict
 from collections.abc import Iterator
 from dataclasses import dataclass
 
 from brookreach.coordination.state_machine.application import View
 from brookreach.disruption import budgets
-from brookreach.disruption.budgets import Kind
-from brookreach.disruption.internal_tables import HELD, LINES, WAITS, LineRow, WaitRow, first, ordered
-from brookreach.disruption.targets import FAR, STEP_MS
+from brookreach.disruption.internal_tables import (
+    GRANTED_PERMITS,
+    QUEUE_ENTRIES,
+    QUEUES,
+    QueueEntryRow,
+    QueueRow,
+    first_row,
+    iterate_rows,
+)
+from brookreach.disruption.states import TargetKind
+from brookreach.disruption.targets import MAX_RANK, MS_PER_URGENCY, RANK_DIGITS, Availability, Direction
 
-GRACE_MS = STEP_MS // 2
+GRACE_MS = MS_PER_URGENCY // 2
 
 
 @dataclass(frozen=True, slots=True)
-class Head:
-    """The first of a line. `need` is 0 for one that is out already: it takes no further place."""
+class QueueHead:
+    """The first entry of a queue.
+
+    Attributes:
+        rank: Of the entry; the lower goes first.
+        key: Of the entry in its table.
+        queue: Its key.
+        scopes: In which it needs places.
+        places: 0 for one that is unavailable already, else 1.
+        load: Of its most loaded scope, see `_queue_loads`.
+        entry: The entry itself.
+    """
 
     rank: int
     key: str
-    line: str
+    queue: str
     scopes: tuple[str, ...]
-    need: int
+    places: int
     load: int
-    wait: WaitRow
+    entry: QueueEntryRow
 
 
-def turns(view: View, kind: Kind, back_only: bool) -> Iterator[WaitRow]:
-    """Those that may go now, one by one; the caller gives each its permit before it takes the next."""
-    places = budgets.room(view, kind, "all")
-    if places < 0:
-        return
-    ways = ["back"] if back_only else ["back", "on"]
-    prefixes = [f"{kind}/{way}/{where}/" for way in ways for where in (["in", "out"] if places else ["out"])]
-    lines = [key for prefix in prefixes for key, _ in ordered(view, LINES, prefix)]
-    if not lines:
+def next_entries(view: View, kind: TargetKind, rollback_only: bool) -> Iterator[QueueEntryRow]:
+    """Entries that may be granted now, one by one; the caller grants each before it takes the next."""
+    queues = _eligible_queues(view, kind, rollback_only)
+    if not queues:
         return
-    loads = _loads(view, kind)
-    heads = [head for key in lines if (head := _head(view, key, loads))]
+    loads = _queue_loads(view, kind)
+    heads = [head for queue in queues if (head := _queue_head(view, queue, loads))]
     while heads:
-        chosen = _chosen(view, kind, heads)
+        chosen = _choose(view, kind, heads)
         if chosen is None:
             return
         heads.remove(chosen)
-        if view.get(WAITS, chosen.key) is not None:  # else it moved, as its target went out by another permit
-            yield chosen.wait
-        following = _head(view, chosen.line, loads)
+        # An entry changes its queue when its target becomes unavailable by another permit.
+        if view.get(QUEUE_ENTRIES, chosen.key) is not None:
+            yield chosen.entry
+        following = _queue_head(view, chosen.queue, loads)
         if following:
             heads.append(following)
 
 
-def _head(view: View, line: str, loads: dict[str, int]) -> Head | None:
-    found = first(view, WAITS, line + "/")
+def _eligible_queues(view: View, kind: TargetKind, rollback_only: bool) -> list[str]:
+    """Keys of the queues whose entries the budget for all targets allows, those of a rollback first."""
+    places = budgets.allowed_disruptions(view, kind, budgets.ALL_SCOPE)
+    if places < 0:
+        return []
+    directions = [Direction.ROLLBACK] if rollback_only else [Direction.ROLLBACK, Direction.FORWARD]
+    availabilities = [Availability.UNAVAILABLE]
+    if places:
+        availabilities = [Availability.AVAILABLE, Availability.UNAVAILABLE]
+    keys: list[str] = []
+    for direction in directions:
+        for availability in availabilities:
+            keys += [key for key, _ in iterate_rows(view, QUEUES, f"{kind}/{direction}/{availability}/")]
+    return keys
+
+
+def _queue_head(view: View, queue: str, loads: dict[str, int]) -> QueueHead | None:
+    found = first_row(view, QUEUE_ENTRIES, queue + "/")
     if found is None:
         return None
-    key, wait = found
-    _, _, where, zone, build, service = line.split("/")
+    key, entry = found
+    _, _, availability, zone, build, service = queue.split("/")
     scopes = budgets.scopes(zone, build, service)
-    load = max(loads.get(scope, 0) for scope in scopes)
-    return Head(int(key[len(line) + 1 :][:16]), key, line, scopes, int(where == "in"), load, wait)
-
-
-def _loads(view: View, kind: Kind) -> dict[str, int]:
-    """By scope that has a budget: how many wait for each that it lets out, in thousandths."""
-    waiting: dict[str, int] = {}
-    row: LineRow
-    for key, row in ordered(view, LINES, f"{kind}/"):
+    rank_start = len(queue) + 1
+    return QueueHead(
+        rank=int(key[rank_start : rank_start + RANK_DIGITS]),
+        key=key,
+        queue=queue,
+        scopes=scopes,
+        places=int(availability == Availability.AVAILABLE),
+        load=max(loads.get(scope, 0) for scope in scopes),
+        entry=entry,
+    )
+
+
+def _queue_loads(view: View, kind: TargetKind) -> dict[str, int]:
+    """By scope that has a budget: how many wait for each target that it lets out, in thousandths."""
+    waiting: defaultdict[str, int] = defaultdict(int)
+    row: QueueRow
+    for key, row in iterate_rows(view, QUEUES, f"{kind}/"):
         _, _, _, zone, build, service = key.split("/")
         for scope in budgets.scopes(zone, build, service)[1:]:
-            waiting[scope] = waiting.get(scope, 0) + row.waiting
+            waiting[scope] += row.waiting
     loads = {}
     for scope, count in waiting.items():
-        budget = budgets.limit(view, kind, scope)
+        budget = budgets.find_budget(view, kind, scope)
         if budget:
-            loads[scope] = count * 1000 // max(1, budget.most_out)
+            loads[scope] = count * 1000 // max(1, budget.max_unavailable)
     return loads
 
 
-def _chosen(view: View, kind: Kind, heads: list[Head]) -> Head | None:
-    """Of those that can go, by the order above; None: none can."""
-    rooms: dict[str, int] = {}
-    claimed: tuple[str, ...] = ()
-    best: Head | None = None
-    until = FAR
-    for head in sorted(heads, key=lambda one: (one.rank, one.key)):
-        if head.rank > until:
+def _choose(view: View, kind: TargetKind, heads: list[QueueHead]) -> QueueHead | None:
+    """Of those that can be granted, by the order above; None: none can."""
+    allowed: dict[str, int] = {}
+    reserved: tuple[str, ...] = ()
+    best: QueueHead | None = None
+    last_rank = MAX_RANK
+    for head in sorted(heads, key=lambda head: (head.rank, head.key)):
+        if head.rank > last_rank:
             break
-        lacks = {}
+        missing = {}
         for scope in head.scopes:
-            if scope not in rooms:
-                rooms[scope] = budgets.room(view, kind, scope)
-            lacks[scope] = head.need - rooms[scope]
-        if all(lack + (head.need and scope in claimed) <= 0 for scope, lack in lacks.items()):
-            until = min(until, head.rank + GRACE_MS)
+            if scope not in allowed:
+                allowed[scope] = budgets.allowed_disruptions(view, kind, scope)
+            missing[scope] = head.places - allowed[scope]
+        if _fits(head, missing, reserved):
+            last_rank = min(last_rank, head.rank + GRACE_MS)
             if best is None or head.load > best.load:
                 best = head
-        elif head.need and not claimed and owed(view, kind, head.rank, lacks):
-            claimed = head.scopes
+        elif head.places and not reserved and is_blocked_by_later_permits(view, kind, head.rank, missing):
+            reserved = head.scopes
     return best
 
 
-def owed(view: View, kind: Kind, rank: int, lacks: dict[str, int]) -> bool:
-    """Whether only permits that rank well after `rank` fill the scopes that lack places."""
-    for scope, lack in lacks.items():
-        if lack <= 0:
-            continue
-        passed = 0
-        for key, _ in ordered(view, HELD, f"{kind}/{scope}/"):
-            if FAR - int(key.split("/")[2]) <= rank + GRACE_MS:
-                break
-            passed += 1
-            if passed == lack:
-                break
-        if passed < lack:
-            return False
-    return True
+def _fits(head: QueueHead, missing: dict[str, int], reserved: tuple[str, ...]) -> bool:
+    """Whether no scope lacks a place for it, beside the one that an earlier entry reserves there."""
+    return all(places + (head.places if scope in reserved else 0) <= 0 for scope, places in missing.items())
+
+
+def is_blocked_by_later_permits(view: View, kind: TargetKind, rank: int, missing: dict[str, int]) -> bool:
+    """Whether permits that rank well after `rank` alone take the places that are missing, in each scope."""
+    return all(
+        _later_permits(view, kind, scope, rank, places) == places for scope, places in missing.items() if places > 0
+    )
+
+
+def _later_permits(view: View, kind: TargetKind, scope: str, rank: int, at_most: int) -> int:
+    """How many granted permits of the scope rank more than `GRACE_MS` after `rank`, counted up to `at_most`."""
+    found = 0
+    for key, _ in iterate_rows(view, GRANTED_PERMITS, f"{kind}/{scope}/"):
+        granted_rank = MAX_RANK - int(key.split("/")[2])
+        if found == at_most or granted_rank <= rank + GRACE_MS:
+            break
+        found += 1
+    return found
--- a/brookreach/gang_scheduling/agent/process.py
+++ b/brookreach/gang_scheduling/agent/process.py
@@ -33,7 +33,7 @@
 from brookreach.coordination.client.session_holder import SessionNotHeldError
 from brookreach.coordination.protocol.tags import wire_name
 from brookreach.coordination.state_machine.application import Command
-from brookreach.disruption.node_agent import Agent, Facts, Say
+from brookreach.disruption.node_agent import NodeAgent, NodeDescription, WriteLine
 from brookreach.gang_scheduling.agent import agent as hands
 from brookreach.gang_scheduling.agent.actions import Act, Slot
 from brookreach.gang_scheduling.agent_tasks import errands
@@ -60,11 +60,13 @@
         return self.kept + (0.0 if self.since is None else min(now, self.until) - self.since)
 
 
-class Worker(Agent):
-    def __init__(self, facts: Facts, told: configuration.ClusterConfiguration, key: bytes, say: Say, path: Path):
+class Worker(NodeAgent):
+    def __init__(
+        self, facts: NodeDescription, told: configuration.ClusterConfiguration, key: bytes, say: WriteLine, path: Path
+    ):
         super().__init__(facts, told, key, None, say, {name: APPLICATION.tables[name] for name in WATCHED})
         now = now_ms()
-        self.hands = hands.Agent(facts.name, self.life, now, told.timing.lease_ms * QUIET)
+        self.hands = hands.Agent(facts.name, self.incarnation, now, told.timing.lease_ms * QUIET)
         self.works: dict[Slot, Work] = {}
         self.later: list[tuple[float, int, Callable[[], None]]] = []
         self.asked: dict[int, Command] = {}
@@ -101,16 +103,16 @@
 
     # --- what the group says ---
 
-    def hear(self, event: ClientEvent) -> None:
+    def on_event(self, event: ClientEvent) -> None:
         now = now_ms()
         if isinstance(event, ReplyReceived | OutcomeUnknown) and event.seq in self.asked:
             order = self.asked.pop(event.seq)
             if isinstance(event, ReplyReceived) and event.ok and isinstance(order, Here):
                 self.here = self.client.session
             elif isinstance(event, ReplyReceived) and not event.ok:
-                self.say(f"{self.facts.name} {wire_name(order)}, refused: {event.text}")
+                self.write_line(f"{self.description.name} {wire_name(order)}, refused: {event.text}")
             return
-        super().hear(event)
+        super().on_event(event)
         if isinstance(event, LeaseRenewed):
             self.hands.lease(now, event.session, event.until_ms)
         elif isinstance(event, SessionLost):
@@ -123,7 +125,7 @@
     def _errands(self) -> None:
         now = now_ms()
         self.again_at = now + AGAIN_MS
-        for errand in errands(self.client.mirror, self.facts.name):
+        for errand in errands(self.client.mirror, self.description.name):
             self.hands.hear(now, errand)
         self._flush()
 
@@ -141,7 +143,7 @@
         if self.client.session:
             with contextlib.suppress(TooManyRequestsError, SessionNotHeldError):
                 self.asked[self.client.ask(now_ms(), APPLICATION.name, order)] = order
-            self.dial.stir()
+            self.connection.stir()
 
     # --- the node ---
 
@@ -215,7 +217,7 @@
         os.fsync(self.file)
 
 
-async def play(path: Path, nodes: list[Facts], room: int, folder: Path, say: Say) -> None:
+async def play(path: Path, nodes: list[NodeDescription], room: int, folder: Path, say: WriteLine) -> None:
     """Agents of these nodes, each with `room` and its file NODE.jsonl in `folder`, until cancelled."""
     told = configuration.read(path)
     key = configuration.read_key(path, told)
@@ -223,4 +225,4 @@
     async with anyio.create_task_group() as tasks:
         for facts in nodes:
             file = folder / f"{facts.name}.jsonl"
-            tasks.start_soon(Worker(replace(facts, room=room), told, key, say, file).run)
+            tasks.start_soon(Worker(replace(facts, capacity=room), told, key, say, file).run)
--- a/brookreach/gang_scheduling/application.py
+++ b/brookreach/gang_scheduling/application.py
@@ -12,7 +12,7 @@
 from msgspec.structs import replace
 
 from brookreach.coordination.state_machine.application import CommandRejectedError, Context, Row, RowUpdate, View
-from brookreach.disruption.internal_tables import first, ordered
+from brookreach.disruption.internal_tables import first_row, iterate_rows
 from brookreach.gang_scheduling import carbon_placement, checkpoint_interval, checkpoints, members, transitions
 from brookreach.gang_scheduling import commands as orders
 from brookreach.gang_scheduling import tables as rows
@@ -72,13 +72,13 @@
         return _changes(desk)
 
     def next_timer_ms(self, view: View) -> int | None:
-        found = first(view, rows.DUES)
+        found = first_row(view, rows.DUES)
         return None if found is None else int(found[0][:16])
 
     def advance_time(self, view: View, context: Context) -> list[RowUpdate]:
         desk = Desk(view, context, self.permits)
         due = []
-        for key, row in ordered(view, rows.DUES):
+        for key, row in iterate_rows(view, rows.DUES):
             if int(key[:16]) > context.now_ms:
                 break
             due.append((key, row.name))
@@ -194,8 +194,8 @@
     """One session of a node's agent at a time; the next only after the one before has ended."""
     by, session = desk.context.client, desk.context.session
     node, hand = desk.node(by), desk.draft.get(rows.HANDS, by)
-    if node is None or node.life != order.life:
-        known = "no such node" if node is None else f"its life is {node.life}"
+    if node is None or node.incarnation != order.life:
+        known = "no such node" if node is None else f"its life is {node.incarnation}"
         raise CommandRejectedError(f"{by}: life {order.life}; {known}")
     if hand is not None and hand.session and hand.session != session:
         raise CommandRejectedError(f"{by}: session {hand.session} carries out its orders and has not ended")
--- a/brookreach/gang_scheduling/disruption_permits.py
+++ b/brookreach/gang_scheduling/disruption_permits.py
@@ -9,7 +9,8 @@
 from typing import Protocol
 
 from brookreach.coordination.state_machine.application import CommandRejectedError, Context, StagedChanges
-from brookreach.disruption import permits
+from brookreach.disruption import permit_requests
+from brookreach.disruption.states import PermitAction
 from brookreach.disruption.tables import PERMITS, PermitRow
 
 
@@ -34,7 +35,7 @@
 
     def ask(self, draft: StagedChanges, context: Context, name: str, node: str, urgency: int, reason: str) -> str:
         try:
-            permits.ask(draft, context, name, "move", node, urgency, reason)
+            permit_requests.request(draft, context, name, PermitAction.MIGRATE, node, urgency, reason)
         except CommandRejectedError as refusal:
             return str(refusal)
         return ""
@@ -43,14 +44,14 @@
         row: PermitRow | None = draft.get(PERMITS, name)
         if row is None or row.state not in ("waiting", "given"):
             return -1
-        return max(1, row.given_ms) if row.state == "given" else 0
+        return max(1, row.granted_ms) if row.state == "given" else 0
 
     def end(self, draft: StagedChanges, context: Context, name: str, reason: str) -> None:
         row: PermitRow | None = draft.get(PERMITS, name)
         if row is not None and row.state == "waiting":
-            permits.take_back(draft, context, name, reason)
+            permit_requests.withdraw(draft, context, name, reason)
         elif row is not None and row.state in ("given", "returning"):
-            permits.done(draft, context, name)
+            permit_requests.complete_migration(draft, context, name)
 
 
 def named(gang: str, fence: int, member: int) -> str:
--- a/brookreach/gang_scheduling/migration.py
+++ b/brookreach/gang_scheduling/migration.py
@@ -62,16 +62,16 @@
     """When a node will not be there for work that runs on it; 0: no such time is known. `down` is what
     marshals see: the agent's session says whether work goes on there.
     """
-    if row is None or row.standing == "gone":
+    if row is None or row.status == "gone":
         return now
-    drains = row.since_ms + DRAIN_MS if row.standing == "draining" else 0
+    drains = row.since_ms + DRAIN_MS if row.status == "draining" else 0
     told = [at for at in (drains, row.retires_ms) if at]
     return min(told) if told else 0
 
 
 def needs_permit(row: NodeRow | None, now: int) -> bool:
     """Not off a node that is out already: gone, past its time, or drained (which has a permit of its own)."""
-    if row is None or row.standing in ("gone", "draining"):
+    if row is None or row.status in ("gone", "draining"):
         return False
     return not row.retires_ms or row.retires_ms > now
 
--- a/brookreach/gang_scheduling/placement.py
+++ b/brookreach/gang_scheduling/placement.py
@@ -36,7 +36,7 @@
 
 def stays(row: NodeRow | None, now: int, until: int) -> bool:
     """Is it a fit place for work that ends at `until`? Room and agents are not looked at."""
-    if row is None or row.standing != "ready" or row.warm_ms > now:
+    if row is None or row.status != "ready" or row.warm_since_ms > now:
         return False
     return not row.retires_ms or row.retires_ms > min(until, now + HORIZON_MS)
 
@@ -50,8 +50,8 @@
     caps = {}
     for _, row in view.rows(RELEASES):
         if row.state in ON_TRIAL:
-            open_now = row.state == "on" and 0 < row.stage <= len(row.caps)
-            caps[row.build] = row.caps[row.stage - 1] if open_now else 0
+            open_now = row.state == "on" and 0 < row.stage <= len(row.traffic_caps)
+            caps[row.build] = row.traffic_caps[row.stage - 1] if open_now else 0
     return caps
 
 
@@ -72,9 +72,9 @@
             if row.build in self.on:
                 self.on[row.build] += used
             hand = view.get(HANDS, name)
-            if hand is None or not hand.session or hand.life != row.life or not stays(row, now, now):
+            if hand is None or not hand.session or hand.life != row.incarnation or not stays(row, now, now):
                 continue
-            free = Free(name, row.life, row.zone, row.build, row.room - used, row.retires_ms)
+            free = Free(name, row.incarnation, row.zone, row.build, row.capacity - used, row.retires_ms)
             self.nodes[name] = free
             if free.retires_ms:
                 self.leaving.append(free)
@@ -198,9 +198,9 @@
     """Members that would fit if nothing else ran, and the nodes that have room for any: for Submit."""
     places = nodes = 0
     for _, node in view.rows(NODES):
-        if node.standing != "gone" and allowed(row, node.zone, node.build):
-            places += node.room // row.room
-            nodes += node.room >= row.room
+        if node.status != "gone" and allowed(row, node.zone, node.build):
+            places += node.capacity // row.room
+            nodes += node.capacity >= row.room
     return places, nodes
 
 
--- a/brookreach/gang_scheduling/transitions.py
+++ b/brookreach/gang_scheduling/transitions.py
@@ -217,7 +217,7 @@
     for number, member in desk.members(name):
         spot = seats.live(member)
         node = desk.node(spot.node) if spot else None
-        if spot is None or node is None or node.life <= spot.life:
+        if spot is None or node is None or node.incarnation <= spot.life:
             continue
         if member.state == "fencing":
             let_go(desk, name, number)
--- a/brookreach/scale/control_counts.py
+++ b/brookreach/scale/control_counts.py
@@ -13,14 +13,15 @@
 
 from brookreach.coordination.ports import Timing
 from brookreach.coordination.protocol import messages
-from brookreach.disruption.tables import MARSHALS, NODES, Standing
+from brookreach.disruption.states import TargetStatus
+from brookreach.disruption.tables import BALANCERS, NODES
 from brookreach.model.keepers_crowd import Crowd, seen
 from brookreach.scale.figures import Slope, fit
 
 GBIT = 1.0
 SETTLED_MS, MOST_MS, IDLE_MS, APART_MS = 5_000.0, 120_000.0, 30_000.0, 500.0
 LIVES = 6  # restarts of one node, of three records each
-RESTART: tuple[Standing, ...] = ("draining", "down", "ready")
+RESTART: tuple[TargetStatus, ...] = (TargetStatus.DRAINING, TargetStatus.DOWN, TargetStatus.READY)
 AGENT = "n1"
 AXES = "marshals", "nodes"
 
@@ -94,7 +95,7 @@
         start_bytes=start_bytes,
         start_worst_bytes=worst,
         start_node_rows=rows[NODES],
-        start_marshal_rows=rows[MARSHALS],
+        start_marshal_rows=rows[BALANCERS],
         idle_bytes_in=idle_in,
         idle_bytes_out=idle_out,
         bytes_a_record=crowd.kinds["Changes"] / marshals / records,
--- a/brookreach/scale/control_day.py
+++ b/brookreach/scale/control_day.py
@@ -8,7 +8,6 @@
 
 import random
 from dataclasses import dataclass, field
-from typing import Literal
 
 import anyio
 import msgspec
@@ -17,7 +16,8 @@
 from brookreach.coordination.client.one_shot import ClusterUnreachableError, OneShotClient
 from brookreach.coordination.state_machine.application import Command
 from brookreach.disruption.application import APPLICATION
-from brookreach.disruption.commands import AskDrain, BudgetFor, SetBudgets, TakeBack
+from brookreach.disruption.commands import BudgetEntry, RequestDrain, SetBudgets, WithdrawPermit
+from brookreach.disruption.states import TargetKind, TargetStatus
 from brookreach.model.keepers_crowd import seen
 from brookreach.scale.control_cluster import Cluster, start_talk
 
@@ -25,9 +25,8 @@
 RACK = 20  # nodes that fail at one instant; their agents play all restarts and failures
 RACK_AWAY_S = 1.0
 
-State = Literal["ready", "draining", "down"]
-RESTART: tuple[State, ...] = ("draining", "down", "ready")
-FAILURE: tuple[State, ...] = ("down", "ready")
+RESTART: tuple[TargetStatus, ...] = (TargetStatus.DRAINING, TargetStatus.DOWN, TargetStatus.READY)
+FAILURE: tuple[TargetStatus, ...] = (TargetStatus.DOWN, TargetStatus.READY)
 
 
 class Day(msgspec.Struct, frozen=True):
@@ -73,7 +72,7 @@
     def __init__(self, name: str, talk: OneShotClient, outcome: Outcome):
         self.name, self.talk, self.outcome, self.life = name, talk, outcome, 1
 
-    async def says(self, states: tuple[State, ...]) -> None:
+    async def says(self, states: tuple[TargetStatus, ...]) -> None:
         for state in states:
             self.life += state == "ready"
             await asked(self.talk, seen(self.name, state, self.life), self.outcome)
@@ -103,12 +102,12 @@
         agents = [Agent(f"n{one}", cluster.talk(f"n{one}", "agent"), outcome) for one in range(RACK)]
         for agent in agents:
             await start_talk(agent.talk, tasks)
-        await asked(cluster.operator, SetBudgets((BudgetFor("node", "all", 0, 0),)), outcome)
+        await asked(cluster.operator, SetBudgets((BudgetEntry(TargetKind.NODE, "all", 0, 0),)), outcome)
         began = anyio.current_time()
         async with anyio.create_task_group() as players:
             players.start_soon(_changes, cluster, day.changes, began, seconds, outcome)
             events = [RESTART] * day.restarts + [FAILURE] * day.failures
-            dealt: list[list[tuple[float, tuple[State, ...]]]] = [[] for _ in agents]
+            dealt: list[list[tuple[float, tuple[TargetStatus, ...]]]] = [[] for _ in agents]
             for number, states in enumerate(events):
                 dealt[number % RACK].append((began + chance.uniform(0.0, seconds), states))
             for agent, own in zip(agents, dealt, strict=True):
@@ -119,7 +118,7 @@
     return outcome
 
 
-async def _states(agent: Agent, events: list[tuple[float, tuple[State, ...]]]) -> None:
+async def _states(agent: Agent, events: list[tuple[float, tuple[TargetStatus, ...]]]) -> None:
     for at, states in events:
         await anyio.sleep_until(at)
         await agent.says(states)
@@ -129,9 +128,9 @@
     """The nth configuration change: a drain that waits, for the budget is nought, and the next takes it back."""
     name = f"change-{number // 2}"
     if number % 2:
-        return TakeBack(name, "undone")
+        return WithdrawPermit(name, "undone")
     node = f"n{RACK + number // 2 % (nodes - RACK)}"
-    return AskDrain(name, node, 5, "a change")
+    return RequestDrain(name, node, 5, "a change")
 
 
 async def _changes(cluster: Cluster, count: int, began: float, seconds: float, outcome: Outcome) -> None:
--- a/brookreach/scale/hollow_marshal.py
+++ b/brookreach/scale/hollow_marshal.py
@@ -19,7 +19,7 @@
 from brookreach.coordination.client.connection import ClientConnection, ReplicaConnection, now_ms
 from brookreach.coordination.client.events import ClientEvent, RowsChanged, SessionLost
 from brookreach.disruption.application import APPLICATION
-from brookreach.disruption.balancer_client import WATCHED, Attendance
+from brookreach.disruption.balancer_client import WATCHED_TABLES, BalancerClient
 from brookreach.scale.hollow_protocol import BUCKET_MS
 
 
@@ -84,7 +84,7 @@
     )
 
 
-class HollowMarshal(Attendance):
+class HollowMarshal(BalancerClient):
     """`moved(name, index)` is called whenever its copy of the agreed state has come to another place of the log."""
 
     def __init__(
@@ -100,16 +100,20 @@
         self.seed, self.traffic, self.moved = seed, traffic, moved
         super().__init__(parts(name, zone, numbers), path, restarts=False)
 
-    def begin(self) -> None:
-        super().begin()
-        tables = {table: APPLICATION.tables[table] for table in WATCHED}
+    def connect(self) -> None:
+        super().connect()
+        tables = {table: APPLICATION.tables[table] for table in WATCHED_TABLES}
         chance = random.Random(f"{self.seed} {self.name}")
         self.client = Client(self.name, "marshal", tuple(self.addresses), self.timing, chance, tables)
-        self.dial = CountedDial(self.client, self.group, self.key, self.addresses, self.hear)
-        self.dial.traffic = self.traffic
+        self.connection = self.make_connection(self.client)
 
-    def hear(self, event: ClientEvent) -> None:
-        super().hear(event)
+    def make_connection(self, client: Client) -> ClientConnection:
+        connection = CountedDial(client, self.group, self.key, self.addresses, self.on_event)
+        connection.traffic = self.traffic
+        return connection
+
+    def on_event(self, event: ClientEvent) -> None:
+        super().on_event(event)
         if isinstance(event, SessionLost):
             self.traffic.sessions_lost += 1
         elif isinstance(event, RowsChanged):
--- a/brookreach/scale/storm.py
+++ b/brookreach/scale/storm.py
@@ -16,8 +16,9 @@
 
 from brookreach.coordination.client.connection import now_ms
 from brookreach.coordination.client.one_shot import ClusterUnreachableError
-from brookreach.disruption.commands import BudgetFor, SetBudgets
-from brookreach.disruption.tables import MARSHALS
+from brookreach.disruption.commands import BudgetEntry, SetBudgets
+from brookreach.disruption.states import TargetKind
+from brookreach.disruption.tables import BALANCERS
 from brookreach.scale.control_cluster import AT_ONCE, DRIVER, Cluster, Size, open_cluster
 from brookreach.scale.control_day import change
 from brookreach.scale.hollow_protocol import Figures
@@ -51,7 +52,7 @@
     return (
         sum(one.bytes_in for one in reports),
         sum(sum(one.rows.values()) for one in reports),
-        sum(one.rows.get(MARSHALS, 0) for one in reports),
+        sum(one.rows.get(BALANCERS, 0) for one in reports),
         sum(one.sessions_lost for one in reports),
     )
 
@@ -154,7 +155,7 @@
     for way in ways:
         way.cut = True
     await anyio.sleep(APART_S)
-    await cluster.asked(SetBudgets((BudgetFor("node", "all", 0, 0),)))
+    await cluster.asked(SetBudgets((BudgetEntry(TargetKind.NODE, "all", 0, 0),)))
     indexes = [await _agreed(cluster, number) for number in range(CHANGES)]
     first = await apart.end(returns=False)
     together = Phase(cluster, "regions reach each other again")
--- a/brookreach/simulation/gang_scheduling/process_drill.py
+++ b/brookreach/simulation/gang_scheduling/process_drill.py
@@ -17,6 +17,7 @@
 
 from brookreach.disruption import commands
 from brookreach.disruption.application import APPLICATION
+from brookreach.disruption.states import TargetKind
 from brookreach.disruption.tables import NODES
 from brookreach.gang_scheduling.application import APPLICATION as GANGS_PIECE
 from brookreach.gang_scheduling.commands import Noticed, Submit
@@ -91,7 +92,7 @@
             town.began = anyio.current_time()
             tasks.start_soon(town.listen)
             tasks.start_soon(self.ann.dial.run)
-            lines = (commands.BudgetFor("node", "all", 8, 0),)
+            lines = (commands.BudgetEntry(TargetKind.NODE, "all", 8, 0),)
             await self.ann.agreed("outages", commands.SetBudgets(lines), START_S)
             if await town.until(self.hands, "the town begins", START_S, self.lacks):
                 await self.others(tasks)
@@ -170,7 +171,7 @@
         """A node with members is to go; the leader falls as it hears so. All have left before the time."""
         town, node = self.town, self.one()
         now = anyio.current_time()
-        notice = commands.RetirementNotice(node, self.mirror.at_ms + AHEAD_MS)
+        notice = commands.AnnounceRetirement(node, self.mirror.at_ms + AHEAD_MS)
         if (answer := await self.ann.ask("outages", notice)) is None or not answer.ok:
             return
         self.retired.append(node)
