--- a/brookreach/disruption/__init__.py
+++ b/brookreach/disruption/__init__.py
@@ -1,5 +1,6 @@
-"""Who may be out, and how far a release goes, agreed across the fleet.
+"""Planned disruptions across the fleet: which targets may be unavailable, and how far a release goes.
 
-It owns the budgets, the queue of drains and restarts, permits, halts and agreed releases. It must never let a
-planned outage count before an unplanned one, end a permit by a time-out alone, or open anything after a halt.
+The package owns disruption budgets, the queue of drains and restarts, permits, halts and agreed releases. It must
+never let a planned disruption count before an unplanned outage, end a permit by a time-out alone, or grant or open
+anything after a halt.
 """
--- a/brookreach/disruption/application.py
+++ b/brookreach/disruption/application.py
@@ -75,16 +75,10 @@
         commands.check_sender(command, context)
         draft = StagedChanges(view)
         match command:
-            case commands.ReportNode():
-                liveness.report_node(draft, command, context)
-            case commands.ReportBalancer():
-                liveness.report_balancer(draft, command, context)
-            case commands.Decommission():
-                liveness.decommission(draft, command, context)
-            case commands.AnnounceRetirement() | commands.WithdrawRetirement():
-                liveness.set_retirement(draft, command)
             case commands.RequestDrain() | commands.RequestRestart() | commands.WithdrawPermit():
                 _apply_permit_command(draft, command, context)
+            case commands.StartRelease() | commands.RollBackRelease() | commands.CastVote():
+                _apply_release_command(draft, command, context)
             case commands.SetBudgets():
                 budgets.set_budgets(draft, command)
                 permit_grants.grant_waiting(draft, context)
@@ -95,12 +89,8 @@
                 halt.resume(draft, command.fence)
                 releases.resume_all(draft, context)
                 permit_grants.grant_waiting(draft, context)
-            case commands.StartRelease():
-                releases.start(draft, command, context)
-            case commands.RollBackRelease():
-                releases.roll_back(draft, command, context)
-            case commands.CastVote():
-                votes.cast_vote(draft, command, context)
+            case _:
+                _apply_target_command(draft, command, context)
         return effective_updates(draft)
 
     def next_timer_ms(self, view: View) -> int | None:
@@ -110,7 +100,7 @@
     def advance_time(self, view: View, context: Context) -> list[RowUpdate]:
         """What timers change that are due by `context.now_ms`."""
         draft = StagedChanges(view)
-        for timer in deadlines.pop_due(draft, context.now_ms):
+        for timer in deadlines.pop_expired(draft, context.now_ms):
             _handle_timer(draft, context, timer)
         permit_grants.grant_waiting(draft, context)
         return effective_updates(draft)
@@ -137,6 +127,32 @@
             permit_requests.withdraw(draft, context, name, reason)
 
 
+def _apply_release_command(
+    draft: StagedChanges,
+    command: commands.StartRelease | commands.RollBackRelease | commands.CastVote,
+    context: Context,
+) -> None:
+    match command:
+        case commands.StartRelease():
+            releases.start(draft, command, context)
+        case commands.RollBackRelease():
+            releases.roll_back(draft, command, context)
+        case commands.CastVote():
+            votes.cast_vote(draft, command, context)
+
+
+def _apply_target_command(draft: StagedChanges, command: Command, context: Context) -> None:
+    match command:
+        case commands.ReportNode():
+            liveness.report_node(draft, command, context)
+        case commands.ReportBalancer():
+            liveness.report_balancer(draft, command, context)
+        case commands.Decommission():
+            liveness.decommission(draft, command, context)
+        case commands.AnnounceRetirement() | commands.WithdrawRetirement():
+            liveness.set_retirement(draft, command)
+
+
 def _check_withdrawal(draft: StagedChanges, name: str, context: Context) -> None:
     """Gangs withdraw migrations themselves, and a balancer only what is for itself."""
     permit = permits.find_permit(draft, name)
@@ -150,8 +166,8 @@
 
 def _handle_timer(draft: StagedChanges, context: Context, timer: TimerRow) -> None:
     match TimerKind(timer.kind):
-        case TimerKind.MARK_OVERDUE:
-            permits.mark_overdue(draft, timer.name)
+        case TimerKind.SET_OVERDUE:
+            permits.set_overdue(draft, timer.name)
         case TimerKind.FORGET_PERMIT:
             permits.forget(draft, timer.name)
         case TimerKind.FORGET_TARGET:
--- a/brookreach/disruption/balancer_client.py
+++ b/brookreach/disruption/balancer_client.py
@@ -42,7 +42,7 @@
 WATCHED_TABLES = (HALT, BALANCERS, NODES, PERMITS)
 BALANCER_SERVICE = "marshals"
 RESTART_DELAY_S = 1.0  # of this client, after a defect in it
-LEAVE_TIMEOUT_S = 0.2
+SHUTDOWN_TIMEOUT_S = 0.2
 SESSION_END_TIMEOUT_S = 0.1
 RESTART_URGENCY = 5
 NAME_PATTERN = re.compile(r"[A-Za-z0-9._-]{1,64}")
@@ -167,7 +167,7 @@
 
     async def ends(self) -> None:
         """Ends the session, if that is done at once."""
-        with anyio.move_on_after(LEAVE_TIMEOUT_S):
+        with anyio.move_on_after(SHUTDOWN_TIMEOUT_S):
             await self.connection.end(SESSION_END_TIMEOUT_S)
 
     def _report(self) -> None:
--- a/brookreach/disruption/budgets.py
+++ b/brookreach/disruption/budgets.py
@@ -56,21 +56,21 @@
 
 def outage_count(view: View, kind: TargetKind, scope: str) -> CountRow:
     """The count of the scope; zeros where nothing is in it."""
-    found: CountRow | None = view.get(COUNTS, f"{kind}/{scope}")
-    return found or CountRow(0, 0)
+    row: CountRow | None = view.get(COUNTS, f"{kind}/{scope}")
+    return row or CountRow(0, 0)
 
 
 def adjust_count(draft: StagedChanges, kind: TargetKind, scope: str, total: int, unavailable: int) -> None:
     """Adds these, which may be negative, to the scope's count; a count of nothing has no row."""
-    old = outage_count(draft, kind, scope)
-    new = CountRow(old.total + total, old.unavailable + unavailable)
+    existing = outage_count(draft, kind, scope)
+    new = CountRow(existing.total + total, existing.unavailable + unavailable)
     draft.put(COUNTS, f"{kind}/{scope}", new if new.total else None)
 
 
 def find_budget(view: View, kind: TargetKind, scope: str) -> BudgetRow | None:
     """The budget of the scope; None where it has none."""
-    found: BudgetRow | None = view.get(BUDGETS, f"{kind}/{scope}")
-    return found
+    row: BudgetRow | None = view.get(BUDGETS, f"{kind}/{scope}")
+    return row
 
 
 def allowed_disruptions(view: View, kind: TargetKind, scope: str) -> int:
--- a/brookreach/disruption/build_assignments.py
+++ b/brookreach/disruption/build_assignments.py
@@ -38,17 +38,17 @@
 
 def find_release(view: View, build: int) -> ReleaseRow | None:
     """The release of the build; None: there is none."""
-    found: ReleaseRow | None = view.get(RELEASES, str(build))
-    return found
+    row: ReleaseRow | None = view.get(RELEASES, str(build))
+    return row
 
 
 def find_assignment(view: View, node: str) -> BuildAssignmentRow | None:
     """What the node is to run; None: whatever it runs."""
-    found: BuildAssignmentRow | None = view.get(BUILD_ASSIGNMENTS, node)
-    return found
+    row: BuildAssignmentRow | None = view.get(BUILD_ASSIGNMENTS, node)
+    return row
 
 
-def last_good_build(view: View, build: int) -> int:
+def last_stable_build(view: View, build: int) -> int:
     """The build itself, or the latest before it that was not rolled back. See `releases.roll_back`: no cycle."""
     while (release := find_release(view, build)) is not None and release.state in ROLLBACK_STATES:
         build = release.previous_build
@@ -57,11 +57,11 @@
 
 def get_progress(view: View, build: int) -> ProgressRow:
     """The progress of the build's release, which is known to exist."""
-    found: ProgressRow = view.get(PROGRESS, str(build))
-    return found
+    row: ProgressRow = view.get(PROGRESS, str(build))
+    return row
 
 
-def put_progress(draft: StagedChanges, build: int, progress: ProgressRow) -> None:
+def save_progress(draft: StagedChanges, build: int, progress: ProgressRow) -> None:
     """Replaces the progress of the build's release."""
     draft.put(PROGRESS, str(build), progress)
 
@@ -79,19 +79,19 @@
     progress = get_progress(draft, build)
     while progress.assigning and remaining:
         if progress.assigned >= progress.target_nodes or progress.cursor == BUCKETS:
-            put_progress(draft, build, structs.replace(progress, assigning=False))
+            save_progress(draft, build, structs.replace(progress, assigning=False))
             return
         bucket = _nodes_of_bucket(draft, build, progress.cursor)
         candidates = [node for node in bucket if not _is_assigned(draft, node, build)]
-        chosen = candidates[: min(remaining, progress.target_nodes - progress.assigned)]
-        for node in chosen:
+        selected = candidates[: min(remaining, progress.target_nodes - progress.assigned)]
+        for node in selected:
             _assign(draft, node, BuildAssignmentRow(build, build))
             reconcile_node(draft, context, node)
-        remaining -= len(chosen)
+        remaining -= len(selected)
         progress = get_progress(draft, build)
-        if len(chosen) == len(candidates):
+        if len(selected) == len(candidates):
             progress = structs.replace(progress, cursor=progress.cursor + 1)
-            put_progress(draft, build, progress)
+            save_progress(draft, build, progress)
     if progress.assigning:
         deadlines.schedule(draft, context.now_ms, TimerKind.CONTINUE_BATCH, str(build))
 
@@ -102,7 +102,7 @@
     progress = get_progress(draft, build)
     while progress.assigning and remaining:
         if not progress.cursor:
-            put_progress(draft, build, structs.replace(progress, assigning=False))
+            save_progress(draft, build, structs.replace(progress, assigning=False))
             return
         bucket = list(_nodes_of_bucket(draft, build, progress.cursor - 1))
         candidates = [node for node in reversed(bucket) if _needs_rollback(draft, node, build)]
@@ -112,7 +112,7 @@
         if len(candidates) <= remaining:
             progress = get_progress(draft, build)
             progress = structs.replace(progress, cursor=progress.cursor - 1)
-            put_progress(draft, build, progress)
+            save_progress(draft, build, progress)
         remaining -= min(remaining, len(candidates))
     if progress.assigning:
         deadlines.schedule(draft, context.now_ms, TimerKind.CONTINUE_BATCH, str(build))
@@ -122,7 +122,7 @@
     """Assigns the last good build where the node runs this one or may start it, else nothing."""
     node: NodeRow = draft.get(NODES, name)
     if node.build == build or _is_restarting(draft, name):
-        _assign(draft, name, BuildAssignmentRow(last_good_build(draft, build), build))
+        _assign(draft, name, BuildAssignmentRow(last_stable_build(draft, build), build))
     else:
         _assign(draft, name, None)
 
@@ -154,17 +154,17 @@
 
 def _is_restarting(view: View, node: str) -> bool:
     """Whether it has a permit for a restart that a release wanted."""
-    opened = targets.open_permits(view, TargetKind.NODE, node)
-    return any(name.startswith(permits.RELEASE_PREFIX) for name in opened.names)
+    pending = targets.open_permits(view, TargetKind.NODE, node)
+    return any(name.startswith(permits.RELEASE_PREFIX) for name in pending.names)
 
 
 def _assign(draft: StagedChanges, node: str, assignment: BuildAssignmentRow | None) -> None:
     """A new assignment; a restart that waited for the old one waits no more."""
     targets.remove_from_indexes(draft, TargetKind.NODE, node)
     draft.put(BUILD_ASSIGNMENTS, node, assignment)
-    opened = targets.open_permits(draft, TargetKind.NODE, node)
-    without_restart = structs.replace(opened, restart_rank=0, rollback=False)
-    targets.put_open_permits(draft, TargetKind.NODE, node, without_restart)
+    pending = targets.open_permits(draft, TargetKind.NODE, node)
+    without_restart = structs.replace(pending, restart_rank=0, rollback=False)
+    targets.save_open_permits(draft, TargetKind.NODE, node, without_restart)
     targets.add_to_indexes(draft, TargetKind.NODE, node)
 
 
@@ -176,13 +176,13 @@
     assignment = _corrected_assignment(draft, name, node)
     if assignment is None:
         return
-    opened = targets.open_permits(draft, TargetKind.NODE, name)
+    pending = targets.open_permits(draft, TargetKind.NODE, name)
     wants_restart = (
         assignment.build != node.build
         and assignment.attempts < MAX_RESTART_ATTEMPTS
         and not _is_restarting(draft, name)
     )
-    if wants_restart == bool(opened.restart_rank):
+    if wants_restart == bool(pending.restart_rank):
         return
     restart_rank = 0
     rollback = False
@@ -190,8 +190,8 @@
         rollback = assignment.build != assignment.release
         restart_rank = _restart_rank(draft, context, name, assignment.release, rollback)
     targets.remove_from_indexes(draft, TargetKind.NODE, name)
-    changed = structs.replace(opened, restart_rank=restart_rank, rollback=rollback)
-    targets.put_open_permits(draft, TargetKind.NODE, name, changed)
+    changed = structs.replace(pending, restart_rank=restart_rank, rollback=rollback)
+    targets.save_open_permits(draft, TargetKind.NODE, name, changed)
     targets.add_to_indexes(draft, TargetKind.NODE, name)
 
 
@@ -204,6 +204,6 @@
     is_unreleased = assignment is None and release.state != ReleaseState.RELEASED
     is_rolled_back = assignment is not None and release.state in ROLLBACK_STATES
     if is_unreleased or is_rolled_back:
-        assignment = BuildAssignmentRow(last_good_build(draft, release.previous_build), release.build)
+        assignment = BuildAssignmentRow(last_stable_build(draft, release.previous_build), release.build)
         _assign(draft, name, assignment)
     return assignment
--- a/brookreach/disruption/deadlines.py
+++ b/brookreach/disruption/deadlines.py
@@ -18,7 +18,7 @@
 class TimerKind(StrEnum):
     """What a timer does when it is due; its name says to which permit, target or build."""
 
-    MARK_OVERDUE = "late"
+    SET_OVERDUE = "late"
     FORGET_PERMIT = "forget"
     FORGET_TARGET = "node"
     FORGET_VOTES = "votes"
@@ -27,37 +27,37 @@
     GRANT_WAITING = "serve"
 
 
-def _key(due_ms: int, kind: TimerKind, name: str) -> str:
-    return f"{due_ms:0{TIME_DIGITS}d}/{kind}/{name}"
+def _key(deadline_ms: int, kind: TimerKind, name: str) -> str:
+    return f"{deadline_ms:0{TIME_DIGITS}d}/{kind}/{name}"
 
 
-def _due_ms(key: str) -> int:
+def _deadline_of(key: str) -> int:
     return int(key[:TIME_DIGITS])
 
 
-def schedule(draft: StagedChanges, due_ms: int, kind: TimerKind, name: str) -> None:
+def schedule(draft: StagedChanges, deadline_ms: int, kind: TimerKind, name: str) -> None:
     """Adds a timer; the same one again changes nothing."""
-    draft.put(TIMERS, _key(due_ms, kind, name), TimerRow(str(kind), name))
+    draft.put(TIMERS, _key(deadline_ms, kind, name), TimerRow(str(kind), name))
 
 
-def cancel(draft: StagedChanges, due_ms: int, kind: TimerKind, name: str) -> None:
+def cancel(draft: StagedChanges, deadline_ms: int, kind: TimerKind, name: str) -> None:
     """Removes a timer, if there is one."""
-    draft.put(TIMERS, _key(due_ms, kind, name), None)
+    draft.put(TIMERS, _key(deadline_ms, kind, name), None)
 
 
 def next_timer_ms(view: View) -> int | None:
     """When the next timer is due; None: there is none."""
-    found = first_row(view, TIMERS)
-    return _due_ms(found[0]) if found else None
+    first = first_row(view, TIMERS)
+    return _deadline_of(first[0]) if first else None
 
 
-def pop_due(draft: StagedChanges, now_ms: int) -> list[TimerRow]:
+def pop_expired(draft: StagedChanges, now_ms: int) -> list[TimerRow]:
     """Removes and returns timers that are due, at most `MAX_TIMERS_PER_RECORD`."""
-    due: list[tuple[str, TimerRow]] = []
+    expired: list[tuple[str, TimerRow]] = []
     for key, row in iterate_rows(draft, TIMERS):
-        if _due_ms(key) > now_ms or len(due) == MAX_TIMERS_PER_RECORD:
+        if _deadline_of(key) > now_ms or len(expired) == MAX_TIMERS_PER_RECORD:
             break
-        due.append((key, row))
-    for key, _ in due:
+        expired.append((key, row))
+    for key, _ in expired:
         draft.put(TIMERS, key, None)
-    return [row for _, row in due]
+    return [row for _, row in expired]
--- a/brookreach/disruption/endpoint_overlay.py
+++ b/brookreach/disruption/endpoint_overlay.py
@@ -13,7 +13,8 @@
 from brookreach.coordination.state_machine.application import View
 from brookreach.disruption.states import ACTIVE_STATES, PermitAction
 from brookreach.disruption.tables import NODES, PERMITS, NodeRow, PermitRow
-from brookreach.interface import ListKind, NodeList, NodeState
+from brookreach.enumerations import ListKind, NodeState
+from brookreach.interface import NodeList
 from brookreach.net.link import Listed
 
 EndpointListener = Callable[[NodeList, list[Listed]], None]
@@ -41,14 +42,14 @@
                 self.permits.pop(update.key, None)
                 if isinstance(update.row, PermitRow) and self._is_active_drain(update.row):
                     self.permits[update.key] = update.row
-        return frozenset(row.target for row in self.permits.values() if not self._came_back(view, row))
+        return frozenset(row.target for row in self.permits.values() if not self._has_restarted(view, row))
 
     @staticmethod
     def _is_active_drain(row: PermitRow) -> bool:
         return row.action == PermitAction.DRAIN and row.state in ACTIVE_STATES
 
     @staticmethod
-    def _came_back(view: View, permit: PermitRow) -> bool:
+    def _has_restarted(view: View, permit: PermitRow) -> bool:
         node: NodeRow | None = view.get(NODES, permit.target)
         return node is not None and node.incarnation > permit.incarnation
 
--- a/brookreach/disruption/halt.py
+++ b/brookreach/disruption/halt.py
@@ -14,15 +14,15 @@
 
 def current_halt(view: View) -> HaltRow | None:
     """The halt that stands; None: there is none."""
-    found: HaltRow | None = view.get(HALT, HALT_KEY)
-    return found
+    halt: HaltRow | None = view.get(HALT, HALT_KEY)
+    return halt
 
 
 def start_halt(draft: StagedChanges, context: Context, by: str, reason: str, allows_rollback: bool) -> None:
     """Halts the fleet. A second halt replaces the first with a fence of its own, and is at least as strict."""
-    old = current_halt(draft)
-    if old is not None:
-        allows_rollback = allows_rollback and old.allows_rollback
+    existing = current_halt(draft)
+    if existing is not None:
+        allows_rollback = allows_rollback and existing.allows_rollback
     draft.put(HALT, HALT_KEY, HaltRow(context.index, by, context.now_ms, reason, allows_rollback))
 
 
@@ -32,12 +32,12 @@
     Raises:
         CommandRejectedError: no halt stands, or one with another fence.
     """
-    old = current_halt(draft)
-    if old is None:
+    existing = current_halt(draft)
+    if existing is None:
         raise CommandRejectedError(f"a resume of halt {fence}: nothing is halted")
-    if old.fence != fence:
+    if existing.fence != fence:
         raise CommandRejectedError(
-            f"a resume of halt {fence}, which is not the one that stands: that is {old.fence}, "
-            f"by {old.by} ({old.reason})"
+            f"a resume of halt {fence}, which is not the one that stands: that is {existing.fence}, "
+            f"by {existing.by} ({existing.reason})"
         )
     draft.put(HALT, HALT_KEY, None)
--- a/brookreach/disruption/liveness.py
+++ b/brookreach/disruption/liveness.py
@@ -76,26 +76,26 @@
     """
     name = command.node
     status = _reported_status(command)
-    old = find_node(draft, name)
-    if old is not None:
-        _check_session(old, context, name)
-        _check_incarnation(old, command, status)
-    new = _reported_node(old, command, status, context)
-    if new != old:
+    existing = find_node(draft, name)
+    if existing is not None:
+        _check_session(existing, context, name)
+        _check_incarnation(existing, command, status)
+    new = _reported_node(existing, command, status, context)
+    if new != existing:
         _replace_row(draft, TargetKind.NODE, name, new)
     if status == TargetStatus.DECOMMISSIONED:
         _after_decommission(draft, context, TargetKind.NODE, name, DECOMMISSIONED_BY_ITSELF)
     else:
         permits.complete_returned(draft, context, TargetKind.NODE, name, command.applied_index)
         build_assignments.reconcile_node(draft, context, name)
-    builds = {new.build, old.build if old else new.build}
+    builds = {new.build, existing.build if existing else new.build}
     releases.advance_after_node_change(draft, context, builds, name)
     permit_grants.grant_waiting(draft, context)
 
 
-def _reported_node(old: NodeRow | None, command: ReportNode, status: TargetStatus, context: Context) -> NodeRow:
+def _reported_node(existing: NodeRow | None, command: ReportNode, status: TargetStatus, context: Context) -> NodeRow:
     """The node's row after the report; times go on where the report is of the same incarnation."""
-    same = old if old is not None and old.incarnation == command.incarnation else None
+    same = existing if existing is not None and existing.incarnation == command.incarnation else None
     since_ms = same.since_ms if same and same.status == status else context.now_ms
     warm_since_ms = 0
     if command.warm:
@@ -109,7 +109,7 @@
         since_ms=since_ms,
         incarnation=command.incarnation,
         warm_since_ms=warm_since_ms,
-        retires_ms=old.retires_ms if old else 0,
+        retires_ms=existing.retires_ms if existing else 0,
         session=context.session,
     )
 
@@ -122,13 +122,13 @@
     """
     name = command.balancer
     status = _reported_status(command)
-    old = find_balancer(draft, name)
-    if old is not None:
-        _check_session(old, context, name)
-    is_unchanged = old is not None and old.status == status and old.session == context.session
-    since_ms = old.since_ms if old and is_unchanged else context.now_ms
+    existing = find_balancer(draft, name)
+    if existing is not None:
+        _check_session(existing, context, name)
+    is_unchanged = existing is not None and existing.status == status and existing.session == context.session
+    since_ms = existing.since_ms if existing and is_unchanged else context.now_ms
     new = BalancerRow(command.zone, command.build, command.service, status, since_ms, context.session)
-    if new != old:
+    if new != existing:
         _replace_row(draft, TargetKind.BALANCER, name, new)
     if status == TargetStatus.DECOMMISSIONED:
         _after_decommission(draft, context, TargetKind.BALANCER, name, DECOMMISSIONED_BY_ITSELF)
@@ -186,10 +186,10 @@
 def _after_decommission(draft: StagedChanges, context: Context, kind: TargetKind, name: str, reason: str) -> None:
     """Its row says so already, and keeps its incarnation, so that no late report of that one is taken."""
     permits.end_all_of_target(draft, context, kind, name, reason)
-    opened = targets.open_permits(draft, kind, name)
-    targets.put_open_permits(draft, kind, name, structs.replace(opened, restart_rank=0, rollback=False))
-    due_ms = context.now_ms + DECOMMISSIONED_RETENTION_MS
-    deadlines.schedule(draft, due_ms, TimerKind.FORGET_TARGET, f"{kind}/{name}")
+    pending = targets.open_permits(draft, kind, name)
+    targets.save_open_permits(draft, kind, name, structs.replace(pending, restart_rank=0, rollback=False))
+    deadline_ms = context.now_ms + DECOMMISSIONED_RETENTION_MS
+    deadlines.schedule(draft, deadline_ms, TimerKind.FORGET_TARGET, f"{kind}/{name}")
 
 
 def forget_decommissioned(draft: StagedChanges, context: Context, timer_name: str) -> None:
--- a/brookreach/disruption/node_agent.py
+++ b/brookreach/disruption/node_agent.py
@@ -167,13 +167,13 @@
         ]
         is_withdrawn = any(row.state in ACTIVE_STATES and row.withdrawn_index for _, row in drains)
         startable = [name for name in granted if not self._is_halted(name)]
-        may_stay = self.status in (TargetStatus.READY, TargetStatus.DRAINING)
+        is_up = self.status in (TargetStatus.READY, TargetStatus.DRAINING)
         if startable and self.status == TargetStatus.READY:
             self.permit = startable[0]
             self.awaits_withdrawal = False
             self._set_status(TargetStatus.DRAINING)
             self.drain_started.set()
-        elif is_withdrawn and not granted and may_stay and not self.awaits_withdrawal:
+        elif is_withdrawn and not granted and is_up and not self.awaits_withdrawal:
             self.permit = ""
             self.awaits_withdrawal = True
             self.drain_started = anyio.Event()
--- a/brookreach/disruption/permit_grants.py
+++ b/brookreach/disruption/permit_grants.py
@@ -21,7 +21,7 @@
         return
     remaining = MAX_GRANTS_PER_RECORD
     for kind in budgets.GRANT_ORDER:
-        for entry in queue.next_entries(draft, kind, rollback_only=current_halt is not None):
+        for entry in queue.grantable_entries(draft, kind, rollback_only=current_halt is not None):
             if not remaining:
                 deadlines.schedule(draft, context.now_ms, TimerKind.GRANT_WAITING, "all")
                 return
@@ -43,20 +43,20 @@
     )
     draft.put(PERMITS, name, granted)
     targets.add_to_indexes(draft, kind, entry.target)
-    deadlines.schedule(draft, context.now_ms + permits.OVERDUE_AFTER_MS, TimerKind.MARK_OVERDUE, name)
+    deadlines.schedule(draft, context.now_ms + permits.OVERDUE_AFTER_MS, TimerKind.SET_OVERDUE, name)
 
 
 def _create_release_permit(draft: StagedChanges, context: Context, node: str) -> str:
     """The permit of a restart that a release wants, made when its turn comes: so thousands wait cheaply."""
-    opened = targets.open_permits(draft, TargetKind.NODE, node)
+    pending = targets.open_permits(draft, TargetKind.NODE, node)
     assignment: BuildAssignmentRow = draft.get(BUILD_ASSIGNMENTS, node)
-    urgency = targets.ROLLBACK_URGENCY if opened.rollback else targets.ROLLOUT_URGENCY
-    requested_ms = opened.restart_rank - targets.urgency_delay_ms(urgency)
+    urgency = targets.ROLLBACK_URGENCY if pending.rollback else targets.ROLLOUT_URGENCY
+    requested_ms = pending.restart_rank - targets.urgency_delay_ms(urgency)
     name = f"{permits.RELEASE_PREFIX}{assignment.release}:{node}:{context.index}"
     reason = f"build {assignment.build}, by release {assignment.release}"
     permit = PermitRow(PermitAction.DRAIN, node, "", urgency, requested_ms, PermitState.WAITING, reason=reason)
     draft.put(PERMITS, name, permit)
     draft.put(BUILD_ASSIGNMENTS, node, structs.replace(assignment, attempts=assignment.attempts + 1))
-    granted = structs.replace(opened, names=(*opened.names, name), restart_rank=0, rollback=False)
-    targets.put_open_permits(draft, TargetKind.NODE, node, granted)
+    granted = structs.replace(pending, names=(*pending.names, name), restart_rank=0, rollback=False)
+    targets.save_open_permits(draft, TargetKind.NODE, node, granted)
     return name
--- a/brookreach/disruption/permit_requests.py
+++ b/brookreach/disruption/permit_requests.py
@@ -41,20 +41,20 @@
     """
     kind = permits.target_kind_of(action)
     row = _requestable_target(draft, name, action, target)
-    old = permits.find_permit(draft, name)
-    if old is None:
+    existing = permits.find_permit(draft, name)
+    if existing is None:
         _check_no_other_permit(draft, name, action, target)
         permit = PermitRow(action, target, context.client, urgency, context.now_ms, PermitState.WAITING, reason=reason)
     else:
-        _check_same_request(name, old, action, target)
-        if old.state != PermitState.WAITING or urgency <= old.urgency:
-            return old
-        permit = structs.replace(old, urgency=urgency)
+        _check_same_request(name, existing, action, target)
+        if existing.state != PermitState.WAITING or urgency <= existing.urgency:
+            return existing
+        permit = structs.replace(existing, urgency=urgency)
     targets.remove_from_indexes(draft, kind, target)
     draft.put(PERMITS, name, permit)
-    if old is None:
-        opened = targets.open_permits(draft, kind, target)
-        targets.put_open_permits(draft, kind, target, structs.replace(opened, names=(*opened.names, name)))
+    if existing is None:
+        pending = targets.open_permits(draft, kind, target)
+        targets.save_open_permits(draft, kind, target, structs.replace(pending, names=(*pending.names, name)))
     targets.add_to_indexes(draft, kind, target)
     places = 0 if targets.is_unavailable(row, targets.permits_of(draft, kind, target)) else 1
     if all(budgets.allowed_disruptions(draft, kind, scope) >= places for scope in budgets.scopes_of(row)):
@@ -87,13 +87,15 @@
             )
 
 
-def _check_same_request(name: str, old: PermitRow, action: PermitAction, target: str) -> None:
-    if (old.action, old.target) != (action, target):
+def _check_same_request(name: str, existing: PermitRow, action: PermitAction, target: str) -> None:
+    if (existing.action, existing.target) != (action, target):
         raise CommandRejectedError(
-            f"{name} stands for the {old.action} of {old.target}, {old.state}: take another name"
+            f"{name} stands for the {existing.action} of {existing.target}, {existing.state}: take another name"
+        )
+    if existing.state in FINAL_STATES:
+        raise CommandRejectedError(
+            f"{name} is over: {existing.state} at {existing.ended_ms} ms; asking again needs a new name"
         )
-    if old.state in FINAL_STATES:
-        raise CommandRejectedError(f"{name} is over: {old.state} at {old.ended_ms} ms; asking again needs a new name")
 
 
 def request_all(
--- a/brookreach/disruption/permits.py
+++ b/brookreach/disruption/permits.py
@@ -41,14 +41,14 @@
 
 def find_permit(view: View, name: str) -> PermitRow | None:
     """The permit of this name; None: there is none, or it was ended and forgotten."""
-    found: PermitRow | None = view.get(PERMITS, name)
-    return found
+    permit: PermitRow | None = view.get(PERMITS, name)
+    return permit
 
 
 def find_granted(view: View, name: str) -> PermitRow | None:
     """The permit while its holder may go or is out by it. Its incarnation and fence are those that it is for."""
-    found = find_permit(view, name)
-    return found if found is not None and found.state == PermitState.GRANTED else None
+    permit = find_permit(view, name)
+    return permit if permit is not None and permit.state == PermitState.GRANTED else None
 
 
 def get_permit(view: View, name: str) -> PermitRow:
@@ -57,7 +57,7 @@
     return permit
 
 
-def is_target_back(permit: PermitRow, row: NodeRow | BalancerRow, applied_index: int) -> bool:
+def has_target_returned(permit: PermitRow, row: NodeRow | BalancerRow, applied_index: int) -> bool:
     """Whether the target of an active permit has come back.
 
     In the same incarnation only by an agent that knew of the withdrawal: what it said before may be followed by
@@ -82,7 +82,7 @@
     for permit_name, permit in targets.permits_of(draft, kind, name):
         if permit.action == PermitAction.MIGRATE or permit.state not in ACTIVE_STATES:
             continue
-        if is_target_back(permit, row, applied_index):
+        if has_target_returned(permit, row, applied_index):
             finish(draft, context.now_ms, permit_name, PermitState.ENDED, permit.reason)
         elif permit.state == PermitState.GRANTED and incarnation_of(row) > permit.incarnation:
             returning = checked_transition(PERMIT_TRANSITIONS, permit.state, PermitState.RETURNING)
@@ -97,7 +97,7 @@
             finish(draft, context.now_ms, permit_name, state, reason)
 
 
-def mark_overdue(draft: StagedChanges, name: str) -> None:
+def set_overdue(draft: StagedChanges, name: str) -> None:
     """It was granted long ago. It counts as before; only queue entries wait for it no longer."""
     permit = find_permit(draft, name)
     if permit is None or permit.state not in ACTIVE_STATES:
@@ -127,10 +127,10 @@
         reason=reason,
     )
     draft.put(PERMITS, name, finished)
-    opened = targets.open_permits(draft, kind, permit.target)
-    names = tuple(other for other in opened.names if other != name)
-    targets.put_open_permits(draft, kind, permit.target, structs.replace(opened, names=names))
+    pending = targets.open_permits(draft, kind, permit.target)
+    names = tuple(other for other in pending.names if other != name)
+    targets.save_open_permits(draft, kind, permit.target, structs.replace(pending, names=names))
     targets.add_to_indexes(draft, kind, permit.target)
     if permit.state in ACTIVE_STATES:
-        deadlines.cancel(draft, permit.granted_ms + OVERDUE_AFTER_MS, TimerKind.MARK_OVERDUE, name)
+        deadlines.cancel(draft, permit.granted_ms + OVERDUE_AFTER_MS, TimerKind.SET_OVERDUE, name)
     deadlines.schedule(draft, now_ms + RETENTION_MS, TimerKind.FORGET_PERMIT, name)
--- a/brookreach/disruption/queue.py
+++ b/brookreach/disruption/queue.py
@@ -57,7 +57,7 @@
     entry: QueueEntryRow
 
 
-def next_entries(view: View, kind: TargetKind, rollback_only: bool) -> Iterator[QueueEntryRow]:
+def grantable_entries(view: View, kind: TargetKind, rollback_only: bool) -> Iterator[QueueEntryRow]:
     """Entries that may be granted now, one by one; the caller grants each before it takes the next."""
     queues = _eligible_queues(view, kind, rollback_only)
     if not queues:
@@ -65,14 +65,14 @@
     loads = _queue_loads(view, kind)
     heads = [head for queue in queues if (head := _queue_head(view, queue, loads))]
     while heads:
-        chosen = _choose(view, kind, heads)
-        if chosen is None:
+        selected = _choose(view, kind, heads)
+        if selected is None:
             return
-        heads.remove(chosen)
+        heads.remove(selected)
         # An entry changes its queue when its target becomes unavailable by another permit.
-        if view.get(QUEUE_ENTRIES, chosen.key) is not None:
-            yield chosen.entry
-        following = _queue_head(view, chosen.queue, loads)
+        if view.get(QUEUE_ENTRIES, selected.key) is not None:
+            yield selected.entry
+        following = _queue_head(view, selected.queue, loads)
         if following:
             heads.append(following)
 
@@ -94,10 +94,10 @@
 
 
 def _queue_head(view: View, queue: str, loads: dict[str, int]) -> QueueHead | None:
-    found = first_row(view, QUEUE_ENTRIES, queue + "/")
-    if found is None:
+    keyed_entry = first_row(view, QUEUE_ENTRIES, queue + "/")
+    if keyed_entry is None:
         return None
-    key, entry = found
+    key, entry = keyed_entry
     _, _, availability, zone, build, service = queue.split("/")
     scopes = budgets.scopes(zone, build, service)
     rank_start = len(queue) + 1
@@ -163,12 +163,12 @@
     )
 
 
-def _later_permits(view: View, kind: TargetKind, scope: str, rank: int, at_most: int) -> int:
-    """How many granted permits of the scope rank more than `GRACE_MS` after `rank`, counted up to `at_most`."""
-    found = 0
+def _later_permits(view: View, kind: TargetKind, scope: str, rank: int, limit: int) -> int:
+    """How many granted permits of the scope rank more than `GRACE_MS` after `rank`, counted up to `limit`."""
+    later = 0
     for key, _ in iterate_rows(view, GRANTED_PERMITS, f"{kind}/{scope}/"):
         granted_rank = MAX_RANK - int(key.split("/")[2])
-        if found == at_most or granted_rank <= rank + GRACE_MS:
+        if later == limit or granted_rank <= rank + GRACE_MS:
             break
-        found += 1
-    return found
+        later += 1
+    return later
--- a/brookreach/disruption/releases.py
+++ b/brookreach/disruption/releases.py
@@ -11,7 +11,7 @@
 
 from brookreach.coordination.state_machine.application import CommandRejectedError, Context, StagedChanges, View
 from brookreach.disruption import budgets, build_assignments, deadlines, halt, permit_grants, permits
-from brookreach.disruption.build_assignments import find_release, get_progress, put_progress
+from brookreach.disruption.build_assignments import find_release, get_progress, save_progress
 from brookreach.disruption.commands import RollBackRelease, StartRelease
 from brookreach.disruption.deadlines import TimerKind
 from brookreach.disruption.internal_tables import ProgressRow, iterate_rows
@@ -37,7 +37,7 @@
     return release.traffic_caps[release.stage - 1]
 
 
-def _put(draft: StagedChanges, release: ReleaseRow) -> None:
+def _save(draft: StagedChanges, release: ReleaseRow) -> None:
     draft.put(RELEASES, str(release.build), release)
 
 
@@ -50,7 +50,7 @@
         since_ms=context.now_ms,
         reason=release.reason if reason is None else reason,
     )
-    _put(draft, changed)
+    _save(draft, changed)
 
 
 def check_startable(view: View, command: StartRelease) -> None:
@@ -115,14 +115,14 @@
         promote_votes_needed=command.promote_votes_needed,
         fence=context.index,
     )
-    put_progress(draft, command.build, ProgressRow())
+    save_progress(draft, command.build, ProgressRow())
     _open_next_stage(draft, context, release)
     permit_grants.grant_waiting(draft, context)
 
 
 def _open_next_stage(draft: StagedChanges, context: Context, release: ReleaseRow) -> None:
     release = structs.replace(release, stage=release.stage + 1, since_ms=context.now_ms)
-    _put(draft, release)
+    _save(draft, release)
     progress = get_progress(draft, release.build)
     total = budgets.outage_count(draft, TargetKind.NODE, budgets.ALL_SCOPE).total
     nodes = build_assignments.stage_size(release.node_shares[release.stage - 1], total)
@@ -134,7 +134,7 @@
         all_ready_ms=0,
         promote_votes=0,
     )
-    put_progress(draft, release.build, progress)
+    save_progress(draft, release.build, progress)
     build_assignments.assign_stage(draft, context, release.build)
     advance(draft, context, release.build)
 
@@ -172,11 +172,11 @@
     build = release.build
     progress = get_progress(draft, build)
     if progress.assigning or progress.ready < progress.assigned:
-        put_progress(draft, build, structs.replace(progress, all_ready_ms=0))
+        save_progress(draft, build, structs.replace(progress, all_ready_ms=0))
         return
     if not progress.all_ready_ms:
         progress = structs.replace(progress, all_ready_ms=context.now_ms)
-        put_progress(draft, build, progress)
+        save_progress(draft, build, progress)
         deadlines.schedule(draft, context.now_ms + release.soak_ms, TimerKind.ADVANCE_STAGE, str(build))
     is_soaked = context.now_ms >= progress.all_ready_ms + release.soak_ms
     if not is_soaked or progress.promote_votes < release.promote_votes_needed:
@@ -219,7 +219,7 @@
     progress = structs.replace(
         get_progress(draft, release.build), cursor=build_assignments.BUCKETS, assigning=True, all_ready_ms=0
     )
-    put_progress(draft, release.build, progress)
+    save_progress(draft, release.build, progress)
     build_assignments.unassign_for_rollback(draft, context, release.build)
     advance(draft, context, release.build)
 
@@ -229,7 +229,7 @@
     for _, release in iterate_rows(draft, RELEASES):
         if release.state == ReleaseState.ROLLING_OUT:
             state = checked_transition(RELEASE_TRANSITIONS, release.state, ReleaseState.HALTED)
-            _put(draft, structs.replace(release, state=state))
+            _save(draft, structs.replace(release, state=state))
 
 
 def resume_all(draft: StagedChanges, context: Context) -> None:
@@ -237,7 +237,7 @@
     for _, release in iterate_rows(draft, RELEASES):
         if release.state == ReleaseState.HALTED:
             _change_state(draft, context, release, ReleaseState.ROLLING_OUT)
-            put_progress(draft, release.build, structs.replace(get_progress(draft, release.build), all_ready_ms=0))
+            save_progress(draft, release.build, structs.replace(get_progress(draft, release.build), all_ready_ms=0))
             continue_batch(draft, context, release.build)
 
 
--- a/brookreach/disruption/targets.py
+++ b/brookreach/disruption/targets.py
@@ -80,11 +80,11 @@
 
 def open_permits(view: View, kind: TargetKind, name: str) -> OpenPermitsRow:
     """The target's permits that have not ended, and the restart that a release wants."""
-    found: OpenPermitsRow | None = view.get(OPEN_PERMITS, f"{kind}/{name}")
-    return found or OpenPermitsRow()
+    row: OpenPermitsRow | None = view.get(OPEN_PERMITS, f"{kind}/{name}")
+    return row or OpenPermitsRow()
 
 
-def put_open_permits(draft: StagedChanges, kind: TargetKind, name: str, row: OpenPermitsRow) -> None:
+def save_open_permits(draft: StagedChanges, kind: TargetKind, name: str, row: OpenPermitsRow) -> None:
     """Replaces them; an empty row is removed."""
     draft.put(OPEN_PERMITS, f"{kind}/{name}", row if row.names or row.restart_rank else None)
 
@@ -161,8 +161,8 @@
 
 
 def _update_queue(draft: StagedChanges, queue: str, entry_rank: int, entry: QueueEntryRow, change: _Change) -> None:
-    old: QueueRow | None = draft.get(QUEUES, queue)
-    waiting = (old.waiting if old else 0) + change
+    existing: QueueRow | None = draft.get(QUEUES, queue)
+    waiting = (existing.waiting if existing else 0) + change
     draft.put(QUEUES, queue, QueueRow(waiting) if waiting else None)
     # A permit's name gets a colon, so that it never equals a node's name.
     entry_name = f":{entry.permit}" if entry.permit else entry.target
--- a/brookreach/disruption/votes.py
+++ b/brookreach/disruption/votes.py
@@ -8,7 +8,7 @@
 
 from brookreach.coordination.state_machine.application import CommandRejectedError, Context, StagedChanges
 from brookreach.disruption import deadlines, halt, permit_grants, releases
-from brookreach.disruption.build_assignments import find_release, get_progress, put_progress
+from brookreach.disruption.build_assignments import find_release, get_progress, save_progress
 from brookreach.disruption.commands import CastVote
 from brookreach.disruption.deadlines import TimerKind
 from brookreach.disruption.internal_tables import VOTES, VoteRow, iterate_rows
@@ -27,11 +27,11 @@
     """
     release = _votable_release(draft, command)
     key = f"{command.build}/{context.client}"
-    old: VoteRow | None = draft.get(VOTES, key)
-    if old is not None and old.verdict == Verdict.ROLL_BACK:
+    existing: VoteRow | None = draft.get(VOTES, key)
+    if existing is not None and existing.verdict == Verdict.ROLL_BACK:
         return
     progress = get_progress(draft, command.build)
-    was_promote = old is not None and old.stage == release.stage and old.verdict == Verdict.PROMOTE
+    was_promote = existing is not None and existing.stage == release.stage and existing.verdict == Verdict.PROMOTE
     is_promote = command.verdict == Verdict.PROMOTE
     is_rollback = command.verdict == Verdict.ROLL_BACK
     progress = structs.replace(
@@ -40,7 +40,7 @@
         rollback_votes=progress.rollback_votes + is_rollback,
     )
     draft.put(VOTES, key, VoteRow(command.stage, str(command.verdict), context.session))
-    put_progress(draft, command.build, progress)
+    save_progress(draft, command.build, progress)
     if progress.rollback_votes >= release.rollback_votes_needed:
         votes = progress.rollback_votes
         reason = f"build {command.build}: {votes} marshals voted back, the last {context.client}"
--- a/brookreach/simulation/disruption/drill.py
+++ b/brookreach/simulation/disruption/drill.py
@@ -190,7 +190,7 @@
 
 PLANTS: Plants = {
     "planned-only": (targets, "is_unavailable", lambda right: lambda row, held: right(_ready(row), held)),
-    "timed-out": (permits, "mark_overdue", _late_ends),
+    "timed-out": (permits, "set_overdue", _late_ends),
     "halt-forgotten": (
         sequential_group,
         "kept",
@@ -198,6 +198,10 @@
     ),
     "any-fence": (halt, "resume", _any_fence),
     "sent-back-returns": (releases, "check_startable", lambda right: lambda view, order: None),
-    "old-life-is-back": (permits, "is_target_back", lambda right: lambda one, row, heard: row.status == "ready"),
-    "cold-is-back": (permits, "is_target_back", lambda right: lambda one, row, told: right(one, _ready(row), told)),
+    "old-life-is-back": (permits, "has_target_returned", lambda right: lambda one, row, heard: row.status == "ready"),
+    "cold-is-back": (
+        permits,
+        "has_target_returned",
+        lambda right: lambda one, row, told: right(one, _ready(row), told),
+    ),
 }
