--- a/brookreach/capacity/measure_anew.py
+++ b/brookreach/capacity/measure_anew.py
@@ -9,10 +9,10 @@
 import click
 
 from brookreach.applications import load_applications
-from brookreach.coordination.ports import Timing
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.state_machine.application import StagedChanges
 from brookreach.coordination.state_machine.machine import StateMachine
+from brookreach.coordination.timing import Timing
 from brookreach.disruption import deadlines
 from brookreach.disruption.permits import RETENTION_MS
 from brookreach.disruption.states import PermitAction, PermitState
@@ -37,7 +37,7 @@
             PermitRow(PermitAction.DRAIN, target, "op", 5, WALL, PermitState.ENDED, 1, WALL, WALL, 1, "work"),
         )
         deadlines.schedule(draft, WALL + RETENTION_MS + number, deadlines.TimerKind.FORGET_PERMIT, name)
-    machine.view.take(draft.updates())
+    machine.view.apply_updates(draft.updates())
     fresh = StateMachine(load_applications())
     fresh.restore(machine.snapshot())
     return fresh
--- a/brookreach/cli/fleet.py
+++ b/brookreach/cli/fleet.py
@@ -46,7 +46,7 @@
     """Run one keeper until SIGTERM."""
     from brookreach.applications import load_applications
     from brookreach.cli.structured import writer
-    from brookreach.coordination.server.process import keep as run
+    from brookreach.coordination.server.process import run_replica as run
     from brookreach.net.report import Report
 
     sys.exit(run(file, keeper, load_applications(), Report(keeper, 20, writer(log, keeper)).say))
@@ -57,7 +57,7 @@
 @click.option("--keeper", "keepers", multiple=True, help="Whose disk, as often as wanted; else all of FILE.")
 def found(file: Path, keepers: tuple[str, ...]) -> None:
     """Begin a new group of all keepers of FILE: once in its life, on empty disks."""
-    _begin(file, keepers, lambda disk, names: disk.found(names))
+    _begin(file, keepers, lambda disk, names: disk.bootstrap(names))
 
 
 @fleet.command()
@@ -70,13 +70,13 @@
 
 def _begin(file: Path, keepers: tuple[str, ...], begin: Callable[[Any, tuple[str, ...]], None]) -> None:
     from brookreach.coordination import configuration as config
-    from brookreach.coordination.server.process import disk_of
+    from brookreach.coordination.server.process import open_storage
 
     def each() -> None:
         told = config.read(file)
         names = tuple(one.name for one in told.keeper)
         for name in keepers or names:
-            disk = disk_of(file, told, name)
+            disk = open_storage(file, told, name)
             begin(disk, names)
             disk.close()
             click.echo(f"{name}: {disk.path}")
@@ -131,15 +131,15 @@
     """Print what is agreed."""
 
     async def look(one: OneShotClient) -> dict[str, Any]:
-        view = await one.view()
+        view = await one.read_view()
         tables = {
             name: {key: _by_stored_names(row) for key, row in view.rows(name)}
-            for name in sorted(one.client.mirror.watched)
+            for name in sorted(one.client.cache.watched)
         }
         return {
-            "leader": one.keeper,
-            "index": one.client.mirror.index,
-            "at_ms": one.client.mirror.at_ms,
+            "leader": one.leader,
+            "index": one.client.cache.index,
+            "at_ms": one.client.cache.agreed_time_ms,
             "tables": tables,
         }
 
@@ -172,6 +172,6 @@
 def seats(file: Path, way: str, keeper: str, wait: float) -> None:
     """Give the KEEPER a seat, or take it away. One at a time; each must have come along before the next."""
     from brookreach.coordination.server.proposals import ChangeMembership
-    from brookreach.coordination.state_machine.sessions import SEATS
+    from brookreach.coordination.state_machine.sessions import MEMBERSHIP
 
-    asked(file, wait, SEATS, ChangeMembership(way, keeper))  # type: ignore[arg-type]  # one of the choices
+    asked(file, wait, MEMBERSHIP, ChangeMembership(way, keeper))  # type: ignore[arg-type]  # one of the choices
--- a/brookreach/coordination/raft/node.py
+++ b/brookreach/coordination/raft/node.py
@@ -1,8 +1,10 @@
-"""Raft for one keeper, free of I/O: messages and time in; what to save, send and apply out.
+"""A Raft node, free of I/O: messages and time go in; what to save, to send and to apply comes out.
 
-It owns the order in which parts are asked and the contract of `Ready`: save, then `saved`, then send, then
-apply. It must never read a clock, a disk or a socket, and no message may make it raise: what can't be is
-counted in `refusals` by its name and changes nothing.
+The caller keeps this order for each `Ready`: save it, call `on_saved`, send its messages, apply its entries. The node
+never reads a clock, a disk or a socket, and no message makes it raise: one that makes no sense is counted in
+`rejections` and has no effect.
+
+Times are in ms of a clock that never goes back.
 """
 
 from __future__ import annotations
@@ -11,249 +13,241 @@
 import random
 from collections import Counter
 
-from brookreach.coordination.ports import Ready, StorageError, StoredState, Timing
-from brookreach.coordination.protocol.messages import (
-    MAX_COMMAND_BYTES,
-    AppendEntries,
-    AppendEntriesReply,
-    Body,
-    InstallSnapshot,
-    InstallSnapshotReply,
-    RequestVote,
-    RequestVoteReply,
-    TimeoutNow,
-)
+from brookreach.coordination.errors import StorageError
+from brookreach.coordination.protocol.messages import MAX_COMMAND_BYTES, Body
 from brookreach.coordination.raft import membership
+from brookreach.coordination.raft.dispatcher import MessageDispatcher
 from brookreach.coordination.raft.election import Election
 from brookreach.coordination.raft.follower import Follower
-from brookreach.coordination.raft.node_state import LEADS, MOST_JUMP, NodeState
+from brookreach.coordination.raft.node_state import NodeState, Role
+from brookreach.coordination.raft.rejection import Rejection
 from brookreach.coordination.raft.replication import LeaderReplication
-from brookreach.coordination.raft.snapshot_transfer import Snapshot
+from brookreach.coordination.raft.types import Ready, Snapshot, StoredState
+from brookreach.coordination.timing import Timing
 
 
 class RaftNode:
-    """`seats` are those of the configuration; a keeper that is founded, and never stood, must be of the same.
+    """One replica's part in the cluster.
 
-    Who sits where comes from the disk alone: `Store.found` or `Store.join` wrote it once. A keeper whose disk
-    holds neither is `mute`.
+    Attributes:
+        state: What the parts of the node share.
+        replication: The leader's part, while this node leads.
     """
 
-    def __init__(self, me: str, kept: StoredState, seats: tuple[str, ...], timing: Timing, chance: random.Random):
-        if seats and me in kept.seats and kept.term == kept.index == 0 and set(seats) != set(kept.seats):
-            founded, named = ", ".join(sorted(kept.seats)), ", ".join(sorted(seats))
-            raise StorageError(f"founded with {founded}; named are {named}")
-        self.core = NodeState(me, kept, timing, chance)
-        self.election = Election(self.core)
-        self.follower = Follower(self.core)
-        self.leading: LeaderReplication | None = None
-        self.tickets = 0
+    def __init__(
+        self, name: str, stored: StoredState, configured_members: tuple[str, ...], timing: Timing, rng: random.Random
+    ):
+        """Start from what is stored. The members come from there alone; `configured_members` is only compared.
+
+        Raises:
+            StorageError: If the storage was bootstrapped, and never used, with other members than the configured ones.
+        """
+        _check_configured_members(name, stored, configured_members)
+        self.state = NodeState(name, stored, timing, rng)
+        self.election = Election(self.state)
+        self.follower = Follower(self.state)
+        self.replication: LeaderReplication | None = None
+        self._dispatcher = MessageDispatcher(self.state, self.election, self.follower)
+        self._last_ticket = 0
 
-    # --- how it stands ---
+    # --- Status ---
 
     @property
-    def leads(self) -> bool:
-        return self.core.role == LEADS
+    def is_leader(self) -> bool:
+        """Whether this node leads as far as it knows."""
+        return self.state.role == Role.LEADER
 
     @property
     def leader(self) -> str:
-        """ "" where none is known."""
-        return self.core.leader
+        """The leader's name, or "" if none is known."""
+        return self.state.leader
 
     @property
     def term(self) -> int:
-        return self.core.term
+        """The current term."""
+        return self.state.term
 
     @property
-    def seats(self) -> tuple[str, ...]:
-        return self.core.seats
+    def members(self) -> tuple[str, ...]:
+        """The members in effect."""
+        return self.state.members
 
     @property
-    def committed(self) -> int:
-        return self.core.commit
+    def commit_index(self) -> int:
+        """Index of the last entry known to be committed."""
+        return self.state.commit_index
 
     @property
-    def mute(self) -> bool:
-        return self.core.mute
+    def is_uninitialized(self) -> bool:
+        """Whether the storage is empty: neither bootstrapped nor joined. Such a node takes part in nothing."""
+        return self.state.is_uninitialized
 
     @property
-    def refusals(self) -> Counter[str]:
-        return self.core.refusals
+    def rejections(self) -> Counter[Rejection]:
+        """How many messages and requests were ignored, by reason."""
+        return self.state.rejections
 
     @property
     def wall_ms(self) -> int:
-        """This keeper's own clock, as the caller last set it; it goes with votes."""
-        return self.core.wall_ms
+        """This replica's own wall clock, as the caller last set it; it goes with votes."""
+        return self.state.wall_ms
 
     @wall_ms.setter
     def wall_ms(self, value: int) -> None:
-        self.core.wall_ms = value
+        self.state.wall_ms = value
 
     @property
-    def wall_ms_low_median(self) -> int:
-        """Of the clocks that came with the votes by which this keeper became leader, its own among them."""
-        return self.election.wall_ms
-
-    # --- what happens ---
-
-    def hear(self, now: float, source: str, message: Body) -> None:
-        core = self.core
-        core.at(now)
-        if core.mute:
-            return core.refuse("mute")
-        if source == core.me:
-            return core.refuse("from myself")
-        if not isinstance(
-            message,
-            RequestVote
-            | RequestVoteReply
-            | AppendEntries
-            | AppendEntriesReply
-            | InstallSnapshot
-            | InstallSnapshotReply
-            | TimeoutNow,
-        ):
-            return core.refuse("not among keepers")
-        if not 1 <= message.term <= core.term + MOST_JUMP:
-            return core.refuse("a term that can't be")
-        if isinstance(message, RequestVote):
-            self.election.asked(source, message)
-        elif isinstance(message, RequestVoteReply):
-            self.election.answered(source, message)
-        elif isinstance(message, TimeoutNow):
-            self.election.handed(source, message)
-        elif isinstance(message, AppendEntries):
-            self.follower.append(source, message)
-        elif isinstance(message, InstallSnapshot):
-            self.follower.part(source, message)
-        else:
-            self._answered(source, message)
-        self._lead()
-
-    def _answered(self, source: str, answer: AppendEntriesReply | InstallSnapshotReply) -> None:
-        core = self.core
-        if answer.term > core.term:
-            if source in core.seats:
-                core.rise(answer.term)
-            else:
-                core.refuse("not a seat")
-        elif answer.term < core.term or self.leading is None:
-            core.refuse("late")
-        else:
-            self.leading.answered(source, answer)
-
-    def passed(self, now: float) -> None:
-        core = self.core
-        core.at(now)
-        if self.leading:
-            self.leading.passed()
-        elif not core.mute and core.due is not None and core.now >= core.due:
-            self.election.timed_out()
-        self._lead()
-
-    def _lead(self) -> None:
-        """Being leader begins and ends with the role."""
-        if self.core.role != LEADS:
-            self.leading = None
-        elif self.leading is None:
-            self.leading = LeaderReplication(self.core)
-
-    def wake_ms(self) -> float:
-        """When to call `passed` again, by the clock of `now`; what is past means at once."""
-        core = self.core
-        if core.due is None:
+    def low_median_wall_ms(self) -> int:
+        """Low median of the clocks that came with the votes by which this node became leader, its own included."""
+        return self.election.low_median_wall_ms
+
+    # --- Events ---
+
+    def handle_message(self, now: float, source: str, message: Body) -> None:
+        """Take a message from `source`."""
+        self.state.advance_clock(now)
+        self._dispatcher.dispatch(source, message, self.replication)
+        self._update_replication()
+
+    def tick(self, now: float) -> None:
+        """Do what is due at this time."""
+        state = self.state
+        state.advance_clock(now)
+        if self.replication is not None:
+            self.replication.tick()
+        elif not state.is_uninitialized and state.election_due is not None and state.now >= state.election_due:
+            self.election.on_election_timeout()
+        self._update_replication()
+
+    def _update_replication(self) -> None:
+        """Begin or end the leader's part with the role."""
+        if not self.is_leader:
+            self.replication = None
+        elif self.replication is None:
+            self.replication = LeaderReplication(self.state)
+
+    def next_wakeup_ms(self) -> float:
+        """Return when to call `tick` next; a time that is past means at once."""
+        state = self.state
+        if state.election_due is None:
             return 0.0
-        if self._waits():
-            return core.now
-        if self.leading:
-            return self.leading.beat_at
-        return math.inf if core.mute else core.due
-
-    def _waits(self) -> bool:
-        """Whether `ready` has something to hand out."""
-        core = self.core
-        if core.saving:
+        if self._has_output():
+            return state.now
+        if self.replication is not None:
+            return self.replication.heartbeat_due
+        return math.inf if state.is_uninitialized else state.election_due
+
+    def _has_output(self) -> bool:
+        if self.state.save_in_progress:
             return False
-        if self.leading and self.leading.confirmed:
+        if self.replication is not None and self.replication.reads.has_confirmed:
             return True
-        return bool(core.out or core.restore) or core.unsaved() or core.commit > core.applied
+        return self.state.has_output()
 
-    # --- what is asked of it ---
+    # --- Requests ---
 
-    def propose(self, now: float, octets: bytes) -> int | None:
-        """The place where it will stand if it stands at all. None: not leading, ending, full or too long."""
-        core = self.core
-        core.at(now)
-        if self.leading is None or self.leading.handing:
+    def propose(self, now: float, data: bytes) -> int | None:
+        """Append an entry to the log.
+
+        Returns:
+            The index that it has if it is ever committed. None: this node does not lead or hands its leadership over,
+            too many entries wait to be committed, or the data is not allowed.
+        """
+        state = self.state
+        state.advance_clock(now)
+        if self.replication is None or self.replication.transfer is not None:
             return None
-        if core.log.last - core.commit >= core.timing.most_queued:
+        if state.log.last_index - state.commit_index >= state.timing.max_pending_proposals:
             return None
-        if not 1 <= len(octets) <= MAX_COMMAND_BYTES or octets.startswith(membership.HEAD):
-            core.refuse("a record that can't be")
+        if not 1 <= len(data) <= MAX_COMMAND_BYTES or data.startswith(membership.ENTRY_PREFIX):
+            state.reject(Rejection.INVALID_COMMAND)
             return None
-        return self.leading.add(octets)
+        return self.replication.append(data)
 
-    def read(self, now: float) -> int:
-        """A ticket, which `Ready.reads` names once this keeper is known to have led after now.
+    def request_read(self, now: float) -> int:
+        """Request a linearizable read.
 
-        0: not leading, or full. Tickets not named yet are void when it no longer leads.
+        Returns:
+            A ticket that `Ready.reads` names once this node is known to have led after `now`; tickets not named yet
+            are void when it stops leading. 0: it does not lead, or too many reads wait.
         """
-        self.core.at(now)
-        if self.leading is None or len(self.leading.asked) >= self.core.timing.most_queued:
+        state = self.state
+        state.advance_clock(now)
+        if self.replication is None or len(self.replication.reads) >= state.timing.max_pending_proposals:
             return 0
-        self.tickets += 1
-        self.leading.read(self.tickets)
-        return self.tickets
-
-    def change(self, now: float, seats: tuple[str, ...], at_ms: int = 0) -> int | None:
-        """One name comes or goes. None: not leading, a change isn't committed yet, or it is not one name."""
-        core = self.core
-        core.at(now)
-        if self.leading is None or not self.leading.settled():
+        self._last_ticket += 1
+        self.replication.request_read(self._last_ticket)
+        return self._last_ticket
+
+    def change_members(self, now: float, members: tuple[str, ...], at_ms: int = 0) -> int | None:
+        """Add or remove one member.
+
+        Returns:
+            The index of the entry that does it. None: this node does not lead, an earlier change is not committed yet,
+            or these are not the members but for one.
+        """
+        state = self.state
+        state.advance_clock(now)
+        if self.replication is None or not self.replication.may_change_members():
             return None
-        if not membership.proper(seats) or not membership.one_apart(seats, core.seats):
-            core.refuse("seats that can't be")
+        if not membership.is_valid_membership(members) or not membership.differs_by_one_member(members, state.members):
+            state.reject(Rejection.INVALID_MEMBERSHIP)
             return None
-        place = self.leading.add(membership.record(seats, at_ms))
-        self.leading.seat(place)
-        return place
-
-    def hand_over(self, now: float) -> bool:
-        """Ask the best follower to stand. Nothing is taken meanwhile, for an election time at most."""
-        self.core.at(now)
-        return self.leading is not None and (self.leading.handing is not None or self.leading.hand_over())
-
-    def cut(self, index: int, octets: bytes) -> None:
-        """The machine's snapshot of all up to `index`: the log before it may go."""
-        core = self.core
-        term = core.log.term_at(index)
-        if term is None or not core.snapshot.index < index <= core.applied:
-            return core.refuse("a cut out of place")
-        core.cut(Snapshot(index, term, core.members.at(index), octets))
-        if self.leading:
-            self.leading.cut()
-
-    # --- what comes of it ---
+        index = self.replication.append(membership.encode_members(members, at_ms))
+        self.replication.track_members(index)
+        return index
+
+    def transfer_leadership(self, now: float) -> bool:
+        """Ask the best follower to take over; proposals are rejected meanwhile, for an election timeout at most."""
+        self.state.advance_clock(now)
+        if self.replication is None:
+            return False
+        return self.replication.transfer is not None or self.replication.begin_transfer()
+
+    def compact_log(self, index: int, data: bytes) -> None:
+        """Take the state machine's snapshot `data` of all entries up to `index`, and drop the log before it."""
+        state = self.state
+        term = state.log.term_at(index)
+        if term is None or not state.snapshot.index < index <= state.applied_index:
+            state.reject(Rejection.INVALID_COMPACTION)
+            return
+        state.compact(Snapshot(index, term, state.membership.at(index), data))
+        if self.replication is not None:
+            self.replication.on_compaction()
+
+    # --- Output ---
 
     def ready(self) -> Ready:
-        """Empty while a save that was handed out isn't confirmed by `saved`."""
+        """Return what has to be done; nothing while an earlier save is not confirmed by `on_saved`."""
         ready = Ready()
-        if self.core.saving:
+        if self.state.save_in_progress:
             return ready
-        if self.leading:
-            self.leading.flush()
-            self._lead()
-        if self.leading:
-            ready.reads, self.leading.confirmed = self.leading.confirmed, []
-        self.core.fill(ready)
+        if self.replication is not None:
+            self.replication.flush()
+            self._update_replication()
+        if self.replication is not None:
+            ready.reads = self.replication.reads.take_confirmed()
+        self.state.fill(ready)
         return ready
 
-    def saved(self, now: float) -> None:
-        """The last `Ready.save` is on disk. It may commit more: ask `ready` again, after the rest of this."""
-        core = self.core
-        core.at(now)
-        if core.saving:
-            core.saving = False
-            core.log.confirmed()
-            if self.leading:
-                self.leading.settle()
-                self._lead()
+    def on_saved(self, now: float) -> None:
+        """Take note that the last `Ready.save` is durable. More may be committed by it, so ask `ready` again."""
+        state = self.state
+        state.advance_clock(now)
+        if not state.save_in_progress:
+            return
+        state.save_in_progress = False
+        state.log.confirm_saved()
+        if self.replication is not None:
+            self.replication.advance_commit_index()
+            self._update_replication()
+
+
+def _check_configured_members(name: str, stored: StoredState, configured: tuple[str, ...]) -> None:
+    members = stored.snapshot.members
+    is_unused = stored.term == 0 and stored.snapshot.index == 0
+    if configured and name in members and is_unused and set(configured) != set(members):
+        raise StorageError(
+            f"bootstrapped with the members {', '.join(sorted(members))}; "
+            f"the configuration names {', '.join(sorted(configured))}"
+        )
--- a/brookreach/disruption/application.py
+++ b/brookreach/disruption/application.py
@@ -38,7 +38,7 @@
 
 def effective_updates(draft: StagedChanges) -> list[RowUpdate]:
     """The updates without those that leave a row as it is."""
-    return [update for update in draft.updates() if draft.under.get(update.table, update.key) != update.row]
+    return [update for update in draft.updates() if draft.base.get(update.table, update.key) != update.row]
 
 
 class DisruptionApplication:
@@ -46,7 +46,7 @@
 
     name = "outages"
     version = 1
-    orders: Any = commands.Commands
+    commands: Any = commands.Commands
     tables: Mapping[str, type[Row]] = {
         tables.NODES: tables.NodeRow,
         tables.BALANCERS: tables.BalancerRow,
--- a/brookreach/disruption/balancer_client.py
+++ b/brookreach/disruption/balancer_client.py
@@ -19,7 +19,8 @@
 
 from brookreach.coordination import configuration
 from brookreach.coordination.client.client import Client
-from brookreach.coordination.client.connection import ClientConnection, now_ms
+from brookreach.coordination.client.connection import ClientConnection
+from brookreach.coordination.client.errors import SessionNotHeldError, TooManyRequestsError
 from brookreach.coordination.client.events import (
     ClientEvent,
     ClientRejected,
@@ -28,8 +29,7 @@
     SessionEstablished,
     SessionLost,
 )
-from brookreach.coordination.client.requests import TooManyRequestsError
-from brookreach.coordination.client.session_holder import SessionNotHeldError
+from brookreach.coordination.clock import now_ms
 from brookreach.coordination.state_machine.application import Command
 from brookreach.disruption.application import APPLICATION
 from brookreach.disruption.commands import ReportBalancer, RequestRestart
@@ -168,7 +168,7 @@
     async def ends(self) -> None:
         """Ends the session, if that is done at once."""
         with anyio.move_on_after(SHUTDOWN_TIMEOUT_S):
-            await self.connection.end(SESSION_END_TIMEOUT_S)
+            await self.connection.close(SESSION_END_TIMEOUT_S)
 
     def _report(self) -> None:
         report = ReportBalancer(
@@ -178,7 +178,7 @@
             service=BALANCER_SERVICE,
             status=self.status,
             warm=True,
-            applied_index=self.client.mirror.index,
+            applied_index=self.client.cache.index,
         )
         self._send(report)
 
@@ -186,28 +186,28 @@
         """Without a session nothing is sent; the next session begins with a report."""
         if self.client.session:
             with contextlib.suppress(TooManyRequestsError, SessionNotHeldError):
-                self.client.ask(now_ms(), APPLICATION.name, command)
-            self.connection.stir()
+                self.client.propose(now_ms(), APPLICATION.name, command)
+            self.connection.wake()
 
     def on_event(self, event: ClientEvent) -> None:
         """Takes in what the group says."""
         match event:
-            case SessionEstablished(session=session, keeper=replica, again=again):
-                self._log(f"session {session} {'goes on' if again else 'begins'} with {replica}")
-                if not again:
+            case SessionEstablished(session=session, replica=replica, resumed=resumed):
+                self._log(f"session {session} {'goes on' if resumed else 'begins'} with {replica}")
+                if not resumed:
                     self._report()
-            case SessionLost(session=session, why=why):
-                self._log(f"session {session} is lost: {why}; what was agreed last stands")
+            case SessionLost(session=session, reason=reason):
+                self._log(f"session {session} is lost: {reason}; what was agreed last stands")
             case RowsChanged():
                 self._show_drains(event)
             case ReplyReceived(ok=False, text=text):
                 self._log(f"refused: {text}")
-            case ClientRejected(why=why, text=text):
-                self._log(f"turned away, {why}: {text}")
+            case ClientRejected(reason=reason, text=text):
+                self._log(f"turned away, {reason}: {text}")
 
     def _show_drains(self, event: RowsChanged) -> None:
         began = time.monotonic()
-        changed = self.overlay.set_drained(self.drains.take(self.client.mirror, event))
+        changed = self.overlay.set_drained(self.drains.take(self.client.cache, event))
         elapsed_ms = (time.monotonic() - began) * 1000.0
         for name in changed:
             shown = "drains" if name in self.overlay.drained else "is as discovery has it"
--- a/brookreach/disruption/endpoint_overlay.py
+++ b/brookreach/disruption/endpoint_overlay.py
@@ -33,7 +33,7 @@
 
     def take(self, view: View, changed: RowsChanged) -> frozenset[str]:
         """Takes in changed rows, which `view` has already; returns the nodes to be drained now."""
-        if changed.whole:
+        if changed.is_snapshot:
             self.permits = {name: row for name, row in view.rows(PERMITS) if self._is_active_drain(row)}
         else:
             for update in changed.updates:
--- a/brookreach/disruption/internal_tables.py
+++ b/brookreach/disruption/internal_tables.py
@@ -114,20 +114,20 @@
 
 
 def iterate_rows(view: View, table: str, prefix: str = "") -> Iterator[tuple[str, Any]]:
-    """Rows by key. Where the view can walk them, the rest isn't read when only the first are taken.
+    """Rows by key. Where the view can iterate over them, the rest isn't read when only the first are taken.
 
-    The view under a record's staged changes doesn't change while the record is applied, so walking it is safe.
+    The view below a record's staged changes doesn't change while the record is applied, so iterating over it is safe.
     """
     if not isinstance(view, StagedChanges):
-        yield from getattr(view, "walk", view.rows)(table, prefix)
+        yield from getattr(view, "iterate", view.rows)(table, prefix)
         return
     staged = sorted(
-        (key, STAGED, row) for (name, key), row in view.over.items() if name == table and key.startswith(prefix)
+        (key, STAGED, row) for (name, key), row in view.changes.items() if name == table and key.startswith(prefix)
     )
     if not staged:
-        yield from iterate_rows(view.under, table, prefix)
+        yield from iterate_rows(view.base, table, prefix)
         return
-    stored = ((key, STORED, row) for key, row in iterate_rows(view.under, table, prefix))
+    stored = ((key, STORED, row) for key, row in iterate_rows(view.base, table, prefix))
     merged = heapq.merge(staged, stored, key=itemgetter(0, 1))
     for key, same_key in groupby(merged, key=itemgetter(0)):
         _, _, row = next(same_key)
--- a/brookreach/disruption/node_agent.py
+++ b/brookreach/disruption/node_agent.py
@@ -18,8 +18,9 @@
 
 from brookreach.coordination import configuration
 from brookreach.coordination.client.client import Client
-from brookreach.coordination.client.connection import ClientConnection, now_ms
+from brookreach.coordination.client.connection import ClientConnection
 from brookreach.coordination.client.events import ClientEvent, ReplyReceived, RowsChanged, SessionEstablished
+from brookreach.coordination.clock import now_ms
 from brookreach.coordination.state_machine.application import Row
 from brookreach.disruption.application import APPLICATION
 from brookreach.disruption.commands import ReportNode
@@ -130,15 +131,15 @@
             status=self.status,
             incarnation=self.incarnation,
             warm=self.status == TargetStatus.READY,
-            applied_index=self.client.mirror.index,
+            applied_index=self.client.cache.index,
         )
-        self.client.ask(now_ms(), APPLICATION.name, report)
-        self.connection.stir()
+        self.client.propose(now_ms(), APPLICATION.name, report)
+        self.connection.wake()
 
     def on_event(self, event: ClientEvent) -> None:
         """Takes in what the group says."""
         match event:
-            case SessionEstablished(again=False):
+            case SessionEstablished(resumed=False):
                 self._report()
             case RowsChanged():
                 self._follow_permits()
@@ -148,14 +149,14 @@
 
     def _is_halted(self, permit: str) -> bool:
         """Whether a halt, as far as its cache shows, keeps it from leaving by this permit."""
-        halt = self.client.mirror.get(HALT, HALT_KEY)
+        halt = self.client.cache.get(HALT, HALT_KEY)
         return isinstance(halt, HaltRow) and not (halt.allows_rollback and permit.startswith(RELEASE_PREFIX))
 
     def _drains(self) -> list[tuple[str, PermitRow]]:
         """Drains of this node, by name."""
         return [
             (name, row)
-            for name, row in self.client.mirror.rows(PERMITS)
+            for name, row in self.client.cache.rows(PERMITS)
             if isinstance(row, PermitRow) and row.action == PermitAction.DRAIN and row.target == self.description.name
         ]
 
--- a/brookreach/disruption/permit_requests.py
+++ b/brookreach/disruption/permit_requests.py
@@ -112,7 +112,7 @@
         request(trial, context, name, action, wanted[name], urgency, reason)
     if any(permits.get_permit(trial, name).state != PermitState.GRANTED for name in wanted):
         return False
-    draft.take(trial.updates())
+    draft.apply_updates(trial.updates())
     return True
 
 
--- a/brookreach/model/keepers_load.py
+++ b/brookreach/model/keepers_load.py
@@ -7,7 +7,7 @@
 
 import statistics
 
-from brookreach.coordination.ports import Timing
+from brookreach.coordination.timing import Timing
 from brookreach.disruption.commands import RequestDrain
 from brookreach.disruption.states import TargetStatus
 from brookreach.model.keepers_crowd import Crowd, seen
@@ -33,7 +33,7 @@
         crowd.ask("op", RequestDrain(f"work-{node}", node, 5, "work"))
 
     def stands(status: TargetStatus, life: int) -> None:
-        crowd.ask(node, seen(node, status, life, crowd.clients[node].mirror.index))
+        crowd.ask(node, seen(node, status, life, crowd.clients[node].cache.index))
 
     crowd.at(ms, given)
     crowd.at(ms + 500.0, lambda: stands(TargetStatus.DRAINING, 1))
