--- a/brookreach/cli/fleet.py
+++ b/brookreach/cli/fleet.py
@@ -100,10 +100,10 @@
     import anyio
 
     from brookreach.configuration import BadStart, object_at
-    from brookreach.disruption.node_agent import nodes_of, play
+    from brookreach.disruption.node_agent import nodes_from_configuration, run_agents
 
     try:
-        nodes = [replace(one, room=room) for one in nodes_of(object_at(str(config), "CONFIG"))]
+        nodes = [replace(one, capacity=room) for one in nodes_from_configuration(object_at(str(config), "CONFIG"))]
     except BadStart as error:
         raise click.ClickException(str(error)) from None
     except (KeyError, TypeError, ValueError) as error:
@@ -116,7 +116,7 @@
         said(lambda: anyio.run(process.run_agents, file, nodes, room, gangs, click.echo))
         return
     away_s = None if away_ms is None else away_ms / 1000.0
-    said(lambda: anyio.run(play, file, nodes, away_s, click.echo))
+    said(lambda: anyio.run(run_agents, file, nodes, away_s, click.echo))
 
 
 # --- operators ---
--- a/brookreach/gang_scheduling/agent_reports.py
+++ b/brookreach/gang_scheduling/agent_reports.py
@@ -30,8 +30,8 @@
     node = transaction.node(agent)
     if node is None:
         raise CommandRejectedError(f"{agent}: life {incarnation}; no such node")
-    if node.life != incarnation:
-        raise CommandRejectedError(f"{agent}: life {incarnation}; its life is {node.life}")
+    if node.incarnation != incarnation:
+        raise CommandRejectedError(f"{agent}: life {incarnation}; its life is {node.incarnation}")
     registered = transaction.agent(agent)
     if registered is not None and registered.session:
         if registered.session != session:
--- a/brookreach/gang_scheduling/departures.py
+++ b/brookreach/gang_scheduling/departures.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from brookreach.disruption.states import TargetStatus
 from brookreach.disruption.tables import NodeRow
 
 DRAIN_MS = 60_000  # how long a draining node is taken to stand, from the drain on
@@ -12,9 +13,9 @@
 
     A node that balancers see as down counts as there: the session of its agent says whether work goes on.
     """
-    if row is None or row.standing == "gone":
+    if row is None or row.status == TargetStatus.DECOMMISSIONED:
         return now_ms
-    drained_ms = row.since_ms + DRAIN_MS if row.standing == "draining" else 0
+    drained_ms = row.since_ms + DRAIN_MS if row.status == TargetStatus.DRAINING else 0
     known = [moment_ms for moment_ms in (drained_ms, row.retires_ms) if moment_ms]
     return min(known, default=0)
 
@@ -24,6 +25,6 @@
 
     It doesn't where the node is out already: gone, past its time, or drained, which has a permit of its own.
     """
-    if row is None or row.standing in ("gone", "draining"):
+    if row is None or row.status in (TargetStatus.DECOMMISSIONED, TargetStatus.DRAINING):
         return False
     return not row.retires_ms or row.retires_ms > now_ms
--- a/brookreach/gang_scheduling/disruption_permits.py
+++ b/brookreach/gang_scheduling/disruption_permits.py
@@ -11,7 +11,8 @@
 from typing import Protocol
 
 from brookreach.coordination.state_machine.application import CommandRejectedError, Context, StagedChanges
-from brookreach.disruption import permits
+from brookreach.disruption import permit_requests
+from brookreach.disruption.states import PermitAction
 from brookreach.disruption.tables import PERMITS, PermitRow
 
 
@@ -69,7 +70,7 @@
     ) -> str | None:
         """Waits for a permit, as `PermitProvider.request` says."""
         try:
-            permits.ask(draft, context, name, "move", node, urgency, reason)
+            permit_requests.request(draft, context, name, PermitAction.MIGRATE, node, urgency, reason)
         except CommandRejectedError as rejection:
             return str(rejection)
         return None
@@ -81,15 +82,15 @@
             return PermitStatus(PermitState.ABSENT)
         if row.state == "waiting":
             return PermitStatus(PermitState.WAITING)
-        return PermitStatus(PermitState.GRANTED, max(1, row.given_ms))
+        return PermitStatus(PermitState.GRANTED, max(1, row.granted_ms))
 
     def end(self, draft: StagedChanges, context: Context, name: str, reason: str) -> None:
         """Withdraws a permit that waits, and completes one that is granted."""
         row: PermitRow | None = draft.get(PERMITS, name)
         if row is not None and row.state == "waiting":
-            permits.take_back(draft, context, name, reason)
+            permit_requests.withdraw(draft, context, name, reason)
         elif row is not None and row.state in ("given", "returning"):
-            permits.done(draft, context, name)
+            permit_requests.complete_migration(draft, context, name)
 
 
 def permit_name(gang: str, log_index: int, member: int) -> str:
--- a/brookreach/simulation/gang_scheduling/invariants.py
+++ b/brookreach/simulation/gang_scheduling/invariants.py
@@ -146,7 +146,7 @@
         changes[record.node].append(Change(record.end_or(cluster.now_ms + 1.0), -capacity))
     for node, of_node in changes.items():
         findings.checked("no room taken twice")
-        available = cluster.state.view.get(NODES, node).room
+        available = cluster.state.view.get(NODES, node).capacity
         used = 0
         for change in sorted(of_node, key=lambda change: (change.at_ms, change.amount)):
             used += change.amount
--- a/brookreach/simulation/gang_scheduling/process_faults.py
+++ b/brookreach/simulation/gang_scheduling/process_faults.py
@@ -28,7 +28,7 @@
     """Gives a node with members a notice; the leader is killed as it hears so. All have left before the time."""
     cluster, operator, node = fleet.cluster, fleet.operator, fleet.random_node()
     announced_ms = anyio.current_time() * 1000.0
-    notice = commands.RetirementNotice(node, fleet.cache.agreed_time_ms + NOTICE_LEAD_MS)
+    notice = commands.AnnounceRetirement(node, fleet.cache.agreed_time_ms + NOTICE_LEAD_MS)
     answer = await operator.ask("outages", notice)
     if answer is None or not answer.ok:
         return
--- a/brookreach/simulation/gang_scheduling/replicated_state.py
+++ b/brookreach/simulation/gang_scheduling/replicated_state.py
@@ -130,7 +130,7 @@
     def _record_permit(self, update: RowUpdate) -> None:
         row = update.row
         if isinstance(row, PermitRow) and row.state == "given":
-            permit = GrantedPermit(row.by, row.target, self._events.now_ms)
+            permit = GrantedPermit(row.requested_by, row.target, self._events.now_ms)
             self.granted_permits.setdefault(update.key, permit)
         elif update.key in self.granted_permits:
             ended = self.granted_permits.pop(update.key)
