--- a/brookreach/gang_scheduling/queue.py
+++ b/brookreach/gang_scheduling/queue.py
@@ -1,8 +1,9 @@
 """Which waiting gangs are placed, in which order, and which may go first without keeping another waiting longer.
 
-It owns the rounds of placement. The first in order for which there is no capacity is promised what will be free by the
-time when enough others have ended; whoever comes after it runs only beside that, or ends before. It must never place a
-gang in part, nor let one that came later push that promise back.
+It owns the rounds of placement, which backfill as EASY does (Lifka, "The ANL/IBM SP scheduling system", 1995): the first
+in order for which there is no capacity gets a reservation of what will be free by the time when enough others have
+ended; whoever comes after it runs only beside that, or ends before. It must never place a gang in part, nor let one
+that came later push that reservation back.
 """
 
 from __future__ import annotations
@@ -35,8 +36,8 @@
 
 
 @dataclass(slots=True)
-class Promise:
-    """Capacity kept for one gang: what is free of it now is taken from the index, so that others plan beside it.
+class BackfillReservation:
+    """Capacity held for one gang: what is free of it now is taken from the index, so that others plan beside it.
 
     Attributes:
         gang: The gang's name.
@@ -47,22 +48,22 @@
     gang: str
     at_ms: int
     capacity_by_node: dict[str, int] = field(default_factory=dict)
-    _kept: dict[str, int] = field(default_factory=dict)
+    _held_now: dict[str, int] = field(default_factory=dict)
 
-    def keep(self, index: CapacityIndex) -> None:
+    def hold(self, index: CapacityIndex) -> None:
         """Takes what is free of it now from the index."""
         for name, capacity in self.capacity_by_node.items():
             node = index.nodes.get(name)
-            kept = min(capacity, max(0, node.free)) if node else 0
-            if kept:
-                self._kept[name] = kept
-                index.allocate(name, kept)
-
-    def lend(self, index: CapacityIndex) -> None:
-        """Gives what is kept back to the index, for a gang that ends before `at_ms`."""
-        for name, capacity in self._kept.items():
+            held = min(capacity, max(0, node.free)) if node else 0
+            if held:
+                self._held_now[name] = held
+                index.allocate(name, held)
+
+    def release(self, index: CapacityIndex) -> None:
+        """Gives what is held back to the index, for a gang that ends before `at_ms`."""
+        for name, capacity in self._held_now.items():
             index.allocate(name, -capacity)
-        self._kept = {}
+        self._held_now = {}
 
 
 def place_waiting(transaction: Transaction, prefer: PreferPlacement | None = None) -> None:
@@ -89,7 +90,7 @@
     def __init__(self, transaction: Transaction) -> None:
         self.has_waiting = False
         self._transaction = transaction
-        self._promise: Promise | None = None
+        self._reservation: BackfillReservation | None = None
 
     def visit(self, name: str, preference: PlacementPreference) -> None:
         """Places a gang or notes why it waits."""
@@ -102,11 +103,11 @@
         request = PlacementRequest(row, row.member_count, end_ms, preference.zones)
         if self._place(name, request):
             return
-        if self._promise is not None:
-            self._note_waiting(name, row, f"waits for room, behind {self._promise.gang}")
+        if self._reservation is not None:
+            self._note_waiting(name, row, f"waits for room, behind {self._reservation.gang}")
             return
-        self._promise = _promise_capacity(transaction, name, row)
-        self._note_waiting(name, row, _why_waiting(transaction, row, self._promise))
+        self._reservation = _reserve_for(transaction, name, row)
+        self._note_waiting(name, row, _why_waiting(transaction, row, self._reservation))
 
     def _place(self, name: str, request: PlacementRequest) -> bool:
         transaction = self._transaction
@@ -114,14 +115,14 @@
         if found is not None:
             transitions.place(transaction, name, found)
             return True
-        promise = self._promise
-        if promise is None or request.end_ms > promise.at_ms:
+        reservation = self._reservation
+        if reservation is None or request.end_ms > reservation.at_ms:
             return False
-        promise.lend(transaction.capacity)
+        reservation.release(transaction.capacity)
         found = find_nodes(transaction.capacity, request)
         if found is not None:
             transitions.place(transaction, name, found)
-        promise.keep(transaction.capacity)
+        reservation.hold(transaction.capacity)
         return found is not None
 
     def _note_waiting(self, name: str, row: GangRow, reason: str) -> None:
@@ -130,7 +131,7 @@
             self._transaction.change_gang(name, reason=reason)
 
 
-def _why_waiting(transaction: Transaction, row: GangRow, promise: Promise) -> str:
+def _why_waiting(transaction: Transaction, row: GangRow, reservation: BackfillReservation) -> str:
     """Returns a text that does not change while nothing does."""
     fitting = sum(
         max(0, node.free) // row.member_capacity
@@ -139,41 +140,41 @@
     )
     wanted = f"waits for room: {row.member_count} members of {row.member_capacity} each"
     places = f"{wanted}, {fitting} places on nodes that stay"
-    if not promise.capacity_by_node:
+    if not reservation.capacity_by_node:
         return f"{places}, and none by others' end"
-    full_minute_ms = (promise.at_ms // MINUTE_MS + 1) * MINUTE_MS
+    full_minute_ms = (reservation.at_ms // MINUTE_MS + 1) * MINUTE_MS
     return f"{places}; room by {full_minute_ms}"
 
 
-def _promise_capacity(transaction: Transaction, name: str, row: GangRow) -> Promise:
+def _reserve_for(transaction: Transaction, name: str, row: GangRow) -> BackfillReservation:
     """Finds when there will be capacity if all that runs ends when it is expected to, and where."""
     later = CapacityIndex(transaction.changes, transaction.now_ms)
-    reservations = _reservations_by_gang(transaction)
+    held_by_gang = _held_by_gang(transaction)
     duration_ms = estimates.expected_end_after_restore_ms(transaction, row) - transaction.now_ms
-    for release_ms, other in sorted((_release_ms(transaction, other), other) for other in reservations):
-        for reservation in reservations[other]:
-            later.allocate(reservation.node, -reservation.capacity)
+    for release_ms, other in sorted((_release_ms(transaction, other), other) for other in held_by_gang):
+        for held in held_by_gang[other]:
+            later.allocate(held.node, -held.capacity)
         request = PlacementRequest(row, row.member_count, release_ms + duration_ms)
         found = find_nodes(later, request)
         if found is not None:
-            promise = Promise(name, release_ms, _capacity_by_node(row, found))
-            promise.keep(transaction.capacity)
-            return promise
-    return Promise(name, transaction.now_ms)
+            reservation = BackfillReservation(name, release_ms, _capacity_by_node(row, found))
+            reservation.hold(transaction.capacity)
+            return reservation
+    return BackfillReservation(name, transaction.now_ms)
 
 
 @dataclass(frozen=True, slots=True)
-class _Reservation:
+class _HeldCapacity:
     node: str
     capacity: int
 
 
-def _reservations_by_gang(transaction: Transaction) -> dict[str, list[_Reservation]]:
-    reservations: dict[str, list[_Reservation]] = defaultdict(list)
+def _held_by_gang(transaction: Transaction) -> dict[str, list[_HeldCapacity]]:
+    held: dict[str, list[_HeldCapacity]] = defaultdict(list)
     for key, slot in transaction.changes.rows(SLOTS):
         node, gang, _ = key.split("/")
-        reservations[gang].append(_Reservation(node, slot.capacity))
-    return reservations
+        held[gang].append(_HeldCapacity(node, slot.capacity))
+    return held
 
 
 def _capacity_by_node(row: GangRow, found: list[NodeCapacity]) -> dict[str, int]:
