--- a/brookreach/gang_scheduling/queue.py
+++ b/brookreach/gang_scheduling/queue.py
@@ -1,9 +1,9 @@
 """Which waiting gangs are placed, in which order, and which may go first without keeping another waiting longer.
 
-It owns the rounds of placement, which backfill as EASY does (Lifka, "The ANL/IBM SP scheduling system", 1995): the first
-in order for which there is no capacity gets a reservation of what will be free by the time when enough others have
-ended; whoever comes after it runs only beside that, or ends before. It must never place a gang in part, nor let one
-that came later push that reservation back.
+It owns the rounds of placement, which backfill as EASY does (Lifka, "The ANL/IBM SP scheduling system", 1995): the
+first in order for which there is no capacity gets a reservation of what will be free by the time when enough others
+have ended; whoever comes after it runs only beside that, or ends before. It must never place a gang in part, nor
+let one that came later push that reservation back.
 """
 
 from __future__ import annotations
