--- a/brookreach/coordination/client/connection.py
+++ b/brookreach/coordination/client/connection.py
@@ -17,16 +17,10 @@
 from brookreach.coordination.client.events import ClientEvent
 from brookreach.coordination.clock import now_ms
 from brookreach.coordination.errors import FrameTooLongError, InvalidFrameError
-from brookreach.coordination.protocol import messages
-from brookreach.coordination.protocol.frames import Frame, open_frame, seal_frame
-from brookreach.coordination.protocol.stream import (
-    CONNECTION_ERRORS,
-    DEFAULT_LIMITS,
-    ConnectionLimits,
-    Inbox,
-    SendQueue,
-    read_frames,
-)
+from brookreach.coordination.protocol import frames, messages
+from brookreach.coordination.protocol.inbox import Inbox
+from brookreach.coordination.protocol.limits import DEFAULT_LIMITS, ConnectionLimits
+from brookreach.coordination.protocol.stream import CONNECTION_ERRORS, SendQueue, read_frames
 
 MAX_SLEEP_S = 5.0  # after so long the clock is read again, in case it stood still
 CLOSE_TIMEOUT_S = 1.0
@@ -134,7 +128,7 @@
     def _put(self, replica: str, message: messages.Body) -> None:
         """Queues a message if the present connection is to that replica; else it is dropped."""
         if self.connection is not None and replica == self.connection.replica:
-            frame = seal_frame(self._key, self._group, self.client.name, replica, message)
+            frame = frames.seal_frame(self._key, self._group, self.client.name, replica, message)
             self.connection.send_queue.put(frame)
 
     def _open_connection(self, tasks: anyio.abc.TaskGroup, replica: str) -> None:
@@ -182,8 +176,8 @@
         except FrameTooLongError:
             self.rejected_frames["too long"] += 1
 
-    def _open_frame(self, octets: bytes, replica: str) -> Frame:
-        frame = open_frame(self._key, self._group, self.client.name, octets, messages.SERVER_MESSAGES)
+    def _open_frame(self, octets: bytes, replica: str) -> frames.Frame:
+        frame = frames.open_frame(self._key, self._group, self.client.name, octets, messages.SERVER_MESSAGES)
         if frame.source != replica:
             raise InvalidFrameError("not its to say", f"{frame.source} where {replica} speaks")
         return frame
--- a/brookreach/coordination/client/digested_tables.py
+++ b/brookreach/coordination/client/digested_tables.py
@@ -14,7 +14,7 @@
 from brookreach.coordination.errors import InvalidRowError, RowTooLargeError
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.state_machine.application import Row, RowUpdate
-from brookreach.coordination.state_machine.tables import ROW_DIGEST_BYTES, Tables, row_digest
+from brookreach.coordination.state_machine.tables import ROW_DIGEST_BYTES, StoredRow, Tables, row_digest
 
 DIGEST_MODULUS = 1 << 8 * ROW_DIGEST_BYTES
 
@@ -80,7 +80,7 @@
         applied.updates = tuple(RowUpdate(row.table, row.key, self.get(row.table, row.key)) for row in changed)
         return applied
 
-    def _decode(self, row: messages.RowChange, applied: AppliedRows) -> tuple[Any, messages.RowChange]:
+    def _decode(self, row: messages.RowChange, applied: AppliedRows) -> StoredRow:
         row_key = row.table, row.key
         self.unreadable.pop(row_key, None)
         self._unreadable_digests.pop(row_key, None)
@@ -90,7 +90,8 @@
             self.unreadable[row_key] = str(error)
             self._unreadable_digests[row_key] = row_digest(row)
             applied.unreadable.append(RowUnreadable(row.table, row.key, str(error)))
-            return None, messages.RowChange(row.table, row.key, None)  # the earlier row has gone
+            # What stood there before has gone.
+            return StoredRow(None, messages.RowChange(row.table, row.key, None))
 
     def _digest_sum(self) -> bytes:
         total = sum(self._tables.digest_sums.values()) + sum(self._unreadable_digests.values())
--- a/brookreach/coordination/server/leader_term.py
+++ b/brookreach/coordination/server/leader_term.py
@@ -9,6 +9,7 @@
 from brookreach.coordination.server.agreed_clock import AgreedTime
 from brookreach.coordination.state_machine import sessions
 from brookreach.coordination.state_machine.machine import StateMachine
+from brookreach.coordination.state_machine.session_leases import SessionLeases
 from brookreach.coordination.timing import Timing
 
 
@@ -20,7 +21,7 @@
         self.term = raft.term
         self.clock = AgreedTime(now, raft.low_median_wall_ms)
         self.open = False
-        self.leases = sessions.SessionLeases(timing)
+        self.leases = SessionLeases(timing)
         self.passing = 0  # where a Passed stands that is not yet applied
         self.again_at = now  # no Passed before
 
--- a/brookreach/model/keepers_crowd.py
+++ b/brookreach/model/keepers_crowd.py
@@ -17,7 +17,8 @@
 from brookreach.coordination.client.events import SessionEstablished, SessionLost
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.protocol.frames import seal_frame
-from brookreach.coordination.protocol.stream import DEFAULT_LIMITS, LENGTH_PREFIX_BYTES
+from brookreach.coordination.protocol.limits import DEFAULT_LIMITS
+from brookreach.coordination.protocol.stream import LENGTH_PREFIX_BYTES
 from brookreach.coordination.protocol.tags import wire_name
 from brookreach.coordination.raft.types import PendingSave, Ready, Snapshot
 from brookreach.coordination.server.replica import Replica
