--- a/brookreach/coordination/client/digested_tables.py
+++ b/brookreach/coordination/client/digested_tables.py
@@ -90,7 +90,8 @@
             self.unreadable[row_key] = str(error)
             self._unreadable_digests[row_key] = row_digest(row)
             applied.unreadable.append(RowUnreadable(row.table, row.key, str(error)))
-            return StoredRow(None, messages.RowChange(row.table, row.key, None))  # the earlier row has gone
+            # What stood there before has gone.
+            return StoredRow(None, messages.RowChange(row.table, row.key, None))
 
     def _digest_sum(self) -> bytes:
         total = sum(self._tables.digest_sums.values()) + sum(self._unreadable_digests.values())
--- a/brookreach/gang_scheduling/placement.py
+++ b/brookreach/gang_scheduling/placement.py
@@ -62,8 +62,8 @@
     caps = {}
     for _, row in view.rows(RELEASES):
         if row.state in TRIAL_STATES:
-            is_open = row.state == "on" and 0 < row.stage <= len(row.caps)
-            caps[row.build] = row.caps[row.stage - 1] if is_open else 0
+            is_open = row.state == "on" and 0 < row.stage <= len(row.traffic_caps)
+            caps[row.build] = row.traffic_caps[row.stage - 1] if is_open else 0
     return caps
 
 
