--- a/brookreach/cli/fleet.py
+++ b/brookreach/cli/fleet.py
@@ -157,12 +157,12 @@
 
 async def _read_state(client: OneShotClient) -> dict[str, Any]:
     """Returns the object that `show --json` prints."""
-    import msgspec
+    from brookreach.coordination.protocol.tags import wire_fields
 
     view = await client.read_view()
     cache = client.client.cache
     tables = {
-        table: {row_key: msgspec.structs.asdict(row) for row_key, row in view.rows(table)}
+        table: {row_key: wire_fields(row) for row_key, row in view.rows(table)}
         for table in sorted(cache.watched)
     }
     return {"leader": client.leader, "index": cache.index, "at_ms": cache.agreed_time_ms, "tables": tables}
