--- a/brookreach/simulation/disruption/errors.py
+++ b/brookreach/simulation/disruption/errors.py
@@ -11,5 +11,5 @@
     """A command that the drill depends on was rejected."""
 
 
-class PermitsNotEndedError(DisruptionDrillError):
+class OpenPermitsError(DisruptionDrillError):
     """Permits are open after all targets returned."""
--- a/brookreach/simulation/disruption/fleet_model.py
+++ b/brookreach/simulation/disruption/fleet_model.py
@@ -176,9 +176,9 @@
             halt=current_halt(view),
         )
         starts = member.starts
-        self.schedule(self.random.randint(1, MAX_REACTION_MS), lambda: self._act(member, starts, rows))
+        self.schedule(self.random.randint(1, MAX_REACTION_MS), lambda: self._apply_rows(member, starts, rows))
 
-    def _act(self, member: Member, starts: int, rows: AgreedRows) -> None:
+    def _apply_rows(self, member: Member, starts: int, rows: AgreedRows) -> None:
         is_stale = member.starts != starts or rows.index < member.applied_index
         if member.partitioned or is_stale or member.status == TargetStatus.DOWN:
             return
