--- a/brookreach/capacity/measure_anew.py
+++ b/brookreach/capacity/measure_anew.py
@@ -44,7 +44,7 @@
     crowd = Crowd(nodes, 1, Timing(), 1.0)
     for keeper in crowd.keepers.values():  # before any of them leads, or has told anything
         keeper.machine.restore(machine.snapshot())
-        keeper.watches.restored()
+        keeper.watches.on_restored()
     crowd.run(5_000.0, lambda: bool(crowd.leader()))
     names = [f"n{number}" if kind == "agent" else f"m{number}" for number in range(clients)]
     for name in names:
--- a/brookreach/cli/fleet.py
+++ b/brookreach/cli/fleet.py
@@ -164,7 +164,7 @@
 @WAIT
 def seats(file: Path, way: str, keeper: str, wait: float) -> None:
     """Give the KEEPER a seat, or take it away. One at a time; each must have come along before the next."""
-    from brookreach.coordination.server.proposals import ChangeMembership
+    from brookreach.coordination.server.membership_commands import ChangeMembership
     from brookreach.coordination.state_machine.sessions import MEMBERSHIP
 
     asked(file, wait, MEMBERSHIP, ChangeMembership(way, keeper))  # type: ignore[arg-type]  # one of the choices
--- a/brookreach/coordination/server/change_feed.py
+++ b/brookreach/coordination/server/change_feed.py
@@ -1,11 +1,11 @@
-"""Recent changes of the agreed state, once for all that watch it, and copies of the whole cut into messages.
+"""Recent changes of the replicated state, kept once for all clients that watch it.
 
-It owns up to where a message may go and what it carries. It must never grow with the number of watchers, nor
-give out a message that begins or ends within an entry of the log.
+The memory that it takes does not depend on the number of watchers. A message never begins or ends within a log entry.
 
-Before its rows a message has marks, changes of the key "", which no row has. The first bears the sum of all
-rows of the watched tables at the message's place: a client that comes to another one took or was told
-something wrong. Marks that name all the tables stand before a whole and in the first answer to a Watch.
+Each message begins with *digest markers*, changes of the key "", which no row has. The first one carries the sum of
+the row digests of all watched tables at the message's index: a client that comes to another sum knows that it missed
+or was told something wrong. Markers that name all the tables stand before a copy of the tables and in the first answer
+to a WatchRequest.
 """
 
 from __future__ import annotations
@@ -13,136 +13,151 @@
 from collections import deque
 from collections.abc import Collection
 from dataclasses import dataclass
-from typing import NamedTuple
 
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.state_machine.machine import StateMachine
 from brookreach.coordination.state_machine.tables import ROW_DIGEST_BYTES, encoded_size
 
-MARKS = 64  # watched tables, at most, as words.Watch
-Rows = tuple[messages.RowChange, ...]
-Names = tuple[str, ...]
+MAX_WATCHED_TABLES = 64  # as messages.WatchRequest; a message has a marker for each at most
 
+Rows = tuple[messages.RowChange, ...]
+TableNames = tuple[str, ...]
+RowId = tuple[str, str]  # table and key
 
-def digest_markers(names: Collection[str], total: int) -> Rows:
-    octets = (total % (1 << 8 * ROW_DIGEST_BYTES)).to_bytes(ROW_DIGEST_BYTES, "big")
-    return tuple(messages.RowChange(one, "", None if nth else octets) for nth, one in enumerate(names))
 
+def digest_markers(tables: Collection[str], digest_sum: int) -> Rows:
+    """Return a marker for each table, the first one with the sum of the row digests."""
+    modulus = 1 << 8 * ROW_DIGEST_BYTES
+    encoded = (digest_sum % modulus).to_bytes(ROW_DIGEST_BYTES, "big")
+    return tuple(messages.RowChange(table, "", None if position else encoded) for position, table in enumerate(tables))
 
-class Step(NamedTuple):
-    """One entry of the log that changed something."""
-
-    place: int
-    changes: Rows
-    octets: int
-    moved: dict[str, int]  # by how much each table's sum did
 
+@dataclass(frozen=True, slots=True)
+class FeedEntry:
+    """A log entry that changed something.
 
-class Found(NamedTuple):
-    """What one message can tell: up to where, rows, the sum there, bytes."""
+    Attributes:
+        index: Its index.
+        changes: The rows it changed.
+        size: Bytes of these.
+        digest_deltas: By how much each table's sum of row digests changed.
+    """
 
-    upto: int
-    rows: Rows
-    total: int
-    octets: int
+    index: int
+    changes: Rows
+    size: int
+    digest_deltas: dict[str, int]
 
 
 @dataclass(frozen=True, slots=True)
-class Copy:
-    """The watched tables as of `index`, cut into messages; shared by all that watch the same."""
+class FeedUpdate:
+    """What one message tells: the rows changed up to `index`, the sum of digests there, and the rows' bytes."""
 
     index: int
-    parts: tuple[tuple[Rows, int], ...]  # and their bytes
+    rows: Rows
+    digest_sum: int
+    size: int
 
 
 class ChangeFeed:
-    def __init__(self, machine: StateMachine, most_ring: int, most_bytes: int):
-        self._machine, self._most_ring, self._most_bytes = machine, most_ring, most_bytes
-        self.index = self.floor = 0
-        self.octets = 0
-        self._steps: deque[Step] = deque()
-        self._sums: dict[str, int] = {}
-        self._copies: dict[Names, Copy] = {}
-        self._found: dict[tuple[Names, int], Found | None] = {}  # as long as `index` stands
-        self.restored()
-
-    def restored(self) -> None:
-        """What changed before this is not known."""
-        self._steps.clear()
-        self._copies.clear()
-        self._found.clear()
-        self.index = self.floor = self._machine.applied  # all changes after `floor` are in the ring
-        self.octets, self._sums = 0, dict(self._machine.view.digest_sums)
-
-    def took(self, changes: Rows) -> Collection[str]:
-        """What the entry that was just applied changed; hands back the tables."""
+    """The changes after `floor_index`.
+
+    Attributes:
+        index: Index of the last applied entry.
+        floor_index: All changes after this index are in the feed.
+        size: Bytes of the changes in the feed.
+    """
+
+    def __init__(self, machine: StateMachine, max_history_bytes: int, max_message_bytes: int):
+        self._machine = machine
+        self._max_history_bytes = max_history_bytes
+        self._max_message_bytes = max_message_bytes
+        self._entries: deque[FeedEntry] = deque()
+        self._digest_sums: dict[str, int] = {}
+        self._updates: dict[tuple[TableNames, int], FeedUpdate | None] = {}  # computed since the last entry
+        self.index = 0
+        self.floor_index = 0
+        self.size = 0
+        self.reset()
+
+    def reset(self) -> None:
+        """Begin anew at the machine's state: what changed before is not known."""
+        self._entries.clear()
+        self._updates.clear()
         self.index = self._machine.applied
-        self._found.clear()
+        self.floor_index = self._machine.applied
+        self.size = 0
+        self._digest_sums = dict(self._machine.view.digest_sums)
+
+    def append(self, changes: Rows) -> Collection[str]:
+        """Add what the entry changed that was just applied; returns the tables."""
+        self.index = self._machine.applied
+        self._updates.clear()
         if not changes:
             return ()
-        sums = self._machine.view.digest_sums
-        moved = {name: sums[name] - self._sums[name] for name in sorted({one.table for one in changes})}
-        self._sums.update((name, sums[name]) for name in moved)
-        self._steps.append(Step(self.index, changes, sum(encoded_size(one) for one in changes), moved))
-        self.octets += self._steps[-1].octets
-        while self.octets > self._most_ring:
-            gone = self._steps.popleft()
-            self.floor, self.octets = gone.place, self.octets - gone.octets
-        return moved
-
-    def changes(self, names: Names, seen: int) -> Found | None:
-        """Whole entries after `seen`, as many as one message carries. None: the whole is shorter, or the
-        ring does not reach back, or the first entry is too large."""
-        if seen < self.floor:
+        digest_sums = self._machine.view.digest_sums
+        tables = sorted({change.table for change in changes})
+        deltas = {table: digest_sums[table] - self._digest_sums[table] for table in tables}
+        self._digest_sums.update((table, digest_sums[table]) for table in tables)
+        size = sum(encoded_size(change) for change in changes)
+        self._entries.append(FeedEntry(self.index, changes, size, deltas))
+        self.size += size
+        self._drop_oldest()
+        return tables
+
+    def _drop_oldest(self) -> None:
+        while self.size > self._max_history_bytes:
+            dropped = self._entries.popleft()
+            self.floor_index = dropped.index
+            self.size -= dropped.size
+
+    def digest_sum(self, tables: TableNames) -> int:
+        """Return the sum of the row digests of these tables now."""
+        return sum(self._digest_sums[table] for table in tables)
+
+    def update_after(self, tables: TableNames, index: int) -> FeedUpdate | None:
+        """Return the changes of these tables after `index`, as many whole entries as one message carries.
+
+        None: a copy of the tables is shorter, or the feed does not reach back that far, or the first entry is too
+        large for a message.
+        """
+        if index < self.floor_index:
             return None
-        key = names, seen
-        if key not in self._found:
-            self._found[key] = self._gathered(names, seen)
-        return self._found[key]
-
-    def _gathered(self, names: Names, seen: int) -> Found | None:
-        later = []
-        for step in reversed(self._steps):
-            if step.place <= seen:
-                break
-            later.append(step)
-        rows: dict[tuple[str, str], messages.RowChange] = {}
-        last: dict[tuple[str, str], int] = {}  # what each row weighs at the end
-        octets, upto, full = 0, seen, False
-        total = sum(self._sums[one] for one in names)
-        for step in reversed(later):
-            mine = [one for one in step.changes if one.table in names]
-            size = sum(encoded_size(one) for one in mine)
-            last.update(((one.table, one.key), encoded_size(one)) for one in mine)
-            many = len(rows) + len(mine) > messages.MAX_ROWS - MARKS
-            full = full or many or octets + size > self._most_bytes
-            if full:
-                total -= sum(step.moved.get(one, 0) for one in names)
+        key = (tables, index)
+        if key not in self._updates:
+            self._updates[key] = self._collect(tables, index)
+        return self._updates[key]
+
+    def _collect(self, tables: TableNames, after: int) -> FeedUpdate | None:
+        rows: dict[RowId, messages.RowChange] = {}
+        final_sizes: dict[RowId, int] = {}  # of each changed row as it is now
+        size = 0
+        last_index = after
+        digest_sum = self.digest_sum(tables)
+        is_full = False
+        for entry in self._entries_after(after):
+            changes = [change for change in entry.changes if change.table in tables]
+            entry_size = sum(encoded_size(change) for change in changes)
+            final_sizes.update(((change.table, change.key), encoded_size(change)) for change in changes)
+            has_too_many_rows = len(rows) + len(changes) > messages.MAX_ROWS - MAX_WATCHED_TABLES
+            is_full = is_full or has_too_many_rows or size + entry_size > self._max_message_bytes
+            if is_full:
+                digest_sum -= sum(entry.digest_deltas.get(table, 0) for table in tables)
             else:
-                rows.update(((one.table, one.key), one) for one in mine)
-                octets, upto = octets + size, step.place
-        if full and not rows:
+                rows.update(((change.table, change.key), change) for change in changes)
+                size += entry_size
+                last_index = entry.index
+        if is_full and not rows:
             return None
-        if sum(last.values()) > sum(self._machine.view.table_size(one) for one in names):
+        if sum(final_sizes.values()) > sum(self._machine.view.table_size(table) for table in tables):
             return None
-        return Found(upto if full else self.index, tuple(rows.values()), total, octets)
-
-    def copy(self, names: Names, least: int) -> Copy:
-        """The whole at `least` or later. One made before does, where what changed since then is shorter."""
-        copy = self._copies.get(names)
-        if copy is None or copy.index < least or self.changes(names, copy.index) is None:
-            parts: list[tuple[Rows, int]] = []
-            part, octets = list(digest_markers(names, sum(self._sums[one] for one in names))), 0
-            for name in names:
-                for one in self._machine.view.changes(name):
-                    size = encoded_size(one)
-                    if len(part) >= messages.MAX_ROWS or octets + size > self._most_bytes:
-                        parts.append((tuple(part), octets))
-                        part, octets = [], 0
-                    part.append(one)
-                    octets += size
-            copy = self._copies[names] = Copy(self.index, (*parts, (tuple(part), octets)))
-        return copy
-
-    def forget(self, names: Names) -> None:
-        self._copies.pop(names, None)
+        return FeedUpdate(last_index if is_full else self.index, tuple(rows.values()), digest_sum, size)
+
+    def _entries_after(self, index: int) -> list[FeedEntry]:
+        later = []
+        for entry in reversed(self._entries):
+            if entry.index <= index:
+                break
+            later.append(entry)
+        later.reverse()
+        return later
--- a/brookreach/coordination/server/leader.py
+++ b/brookreach/coordination/server/leader.py
@@ -1,247 +1,181 @@
-"""What a leader does with clients in one term: the agreed time, sessions, questions, what is read and
-watched.
-
-It owns what stands between a question and its answer, and is gone with the lead: a client asks again
-elsewhere, under the same number. It must never answer by a lead that may have ended: what is proposed is
-answered when it is applied, everything else after a round of the keepers that was begun since it was heard.
-Watches, too, are served by the leader alone: a client has one connection, and its lease needs the leader
-anyway.
+"""What a leader does for clients during one term: sessions, proposals, reads and watches.
+
+A proposal is answered once it is applied. Everything else is answered after a round of messages that shows that this
+replica still led when the request came. What waits here ends with the term: a client repeats its request, under the
+same number, to the next leader. Watches are served by the leader alone, too: a client has one connection, and needs
+the leader for its lease.
 """
 
 from __future__ import annotations
 
 from collections.abc import Sequence
-from functools import partial
 
 from brookreach.coordination.ports import AppliedCommand
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.raft.node import RaftNode
+from brookreach.coordination.server.errors import InvalidRequestError
+from brookreach.coordination.server.leader_context import LeaderContext
 from brookreach.coordination.server.leader_term import LeaderTerm
-from brookreach.coordination.server.proposals import (
-    InFlightProposal,
-    InFlightProposals,
-    InvalidRequestError,
-    Say,
-    members_after,
-    read_rows,
-    reject,
-)
-from brookreach.coordination.server.watches import Watches
-from brookreach.coordination.state_machine import sessions
+from brookreach.coordination.server.leadership_barrier import LeadershipBarrier
+from brookreach.coordination.server.proposal_handler import ProposalHandler
+from brookreach.coordination.server.proposals import InFlightProposals
+from brookreach.coordination.server.reads import read_rows
+from brookreach.coordination.server.replies import ClientReplies
+from brookreach.coordination.server.session_handler import SessionHandler
+from brookreach.coordination.server.watches import WatchService
 from brookreach.coordination.state_machine.machine import StateMachine
-from brookreach.coordination.state_machine.sessions import ANSWERS, MEMBERSHIP, SESSIONS
 from brookreach.coordination.timing import Timing
 
 
-class Leader(LeaderTerm):
-    """`keepers` are those that the file names: a seat is for one of them."""
+class Leader:
+    """One term.
+
+    Attributes:
+        barrier: The requests that wait until the leadership is confirmed.
+    """
 
     def __init__(
         self,
         now: float,
         raft: RaftNode,
         machine: StateMachine,
-        watches: Watches,
+        watches: WatchService,
         timing: Timing,
-        keepers: Sequence[str],
-        say: Say,
+        configured_replicas: Sequence[str],
+        replies: ClientReplies,
     ):
-        super().__init__(now, raft, machine, timing)
-        self.watches = watches
-        self.keepers, self.say, self.reject = keepers, say, partial(reject, say)
-        self.here: dict[str, int] = {}  # sessions by clients that joined on their present connection
-        self.flights = InFlightProposals()
-        self.asked: list[tuple[str, messages.Body]] = []  # until the next round
-        self.round, self.in_round = 0, list[tuple[str, messages.Body]]()
-
-    # --- what is heard ---
+        self.barrier = LeadershipBarrier(raft)
+        self._machine = machine
+        self._watches = watches
+        self._timing = timing
+        self._replies = replies
+        self._term = LeaderTerm(now, raft, machine, timing)
+        self._in_flight = InFlightProposals()
+        self._context = LeaderContext(raft, machine, timing, self._term, self._in_flight, self.barrier, replies)
+        self._sessions = SessionHandler(self._context)
+        self._proposals = ProposalHandler(self._context, configured_replicas)
+
+    @property
+    def term(self) -> int:
+        """The term's number."""
+        return self._term.number
+
+    @property
+    def is_open(self) -> bool:
+        """Whether all entries of earlier terms are applied."""
+        return self._term.is_open
+
+    @property
+    def connected_clients(self) -> list[str]:
+        """The clients that have opened or used their session on the present connection."""
+        return list(self._sessions.connected)
+
+    # --- Requests ---
 
     def handle_message(self, now: float, source: str, body: messages.Body) -> None:
+        """Take a client's request."""
+        if self._needs_no_barrier(source, body):
+            self._handle(now, source, body)
+        elif len(self.barrier) >= self._timing.max_pending_proposals:
+            self._context.reject_busy(source, body)
+        else:
+            self.barrier.add(source, body)
+
+    def _needs_no_barrier(self, source: str, body: messages.Body) -> bool:
+        """Whether the request is only proposed now, and answered once it is applied."""
+        if not self.is_open:
+            return False
         match body:
-            case messages.OpenSession(session=0) | messages.CloseSession() if self.open:
-                self._sure(now, source, body)
-            case messages.ProposeRequest() if self.open and self._is_next(source, body):
-                self._sure(now, source, body)
-            case _ if len(self.asked) >= self.timing.max_pending_proposals:
-                self._busy(source, body)
+            case messages.OpenSession(session=0) | messages.CloseSession():
+                return True
+            case messages.ProposeRequest():
+                return self._proposals.is_next(source, body)
             case _:
-                self.asked.append((source, body))
+                return False
 
     def begin_round(self, now: float) -> None:
-        """One at a time, for all that was heard before it."""
-        if self.asked and not self.round and (ticket := self.raft.request_read(now)):
-            self.round, self.in_round, self.asked = ticket, self.asked, []
-
-    def confirmed(self, now: float, ticket: int) -> None:
-        """This keeper led after all of the round was heard, and what was committed until then is applied."""
-        if ticket == self.round:
-            sure, self.in_round, self.round = self.in_round, [], 0
-            for source, body in sure:
-                self._sure(now, source, body)
-
-    def _sure(self, now: float, source: str, body: messages.Body) -> None:
+        """Begin to confirm the leadership for the requests that wait."""
+        self.barrier.begin_round(now)
+
+    def on_round_confirmed(self, now: float, ticket: int) -> None:
+        """Handle the requests of a round: this replica led when they came, and what was committed then is applied."""
+        for request in self.barrier.release(ticket):
+            self._handle(now, request.source, request.body)
+
+    def _handle(self, now: float, source: str, body: messages.Body) -> None:
         match body:
             case messages.OpenSession():
-                self._join(now, source, body)
+                self._sessions.open(now, source, body)
+            case messages.CloseSession():
+                if self._sessions.close(now, source, body.session):
+                    self.on_disconnect(source)
             case messages.ProposeRequest():
-                self._ask(now, source, body)
+                self._proposals.propose(now, source, body)
             case messages.ReadRequest():
                 self._read(source, body)
-            case messages.CloseSession(session=session):
-                ended = sessions.SessionEnded(session, "left")
-                if self.machine.holder(session) == source and self._propose(now, ended):
-                    self.leases.remove(session)  # it lives no more
-                    self.client_disconnected(source)
-            case messages.KeepAlive(session=session) | messages.WatchRequest(session=session):
-                if not self._lives(now, source, session):
-                    self._no_session(source, body, session)
-                elif isinstance(body, messages.KeepAlive):
-                    self.leases.renew(now, session)
-                    self.say(source, messages.KeepAliveReply(body.seq, int(self.timing.lease_ms), self.clock.at(now)))
-                elif wrong := self.watches.watch(source, body.tables, body.since):
-                    self.reject(source, body, "refused", wrong)
+            case messages.KeepAlive() | messages.WatchRequest():
+                if self._sessions.is_alive(now, source, body.session):
+                    self._handle_in_session(now, source, body)
                 else:
-                    self.here[source] = session
-
-    def client_disconnected(self, source: str) -> None:
-        """Its connection ended. Its session goes on, as long as its lease."""
-        self.here.pop(source, None)
-        self.watches.gone(source)
-        self.flights.left(source)
-
-    def over(self, leader: str) -> None:
-        """The lead ended: who waits for anything here has to ask elsewhere."""
-        for source in dict.fromkeys(
-            [*self.here, *self.flights.sources(), *(source for source, _ in self.in_round + self.asked)]
-        ):
-            self.watches.gone(source)
-            self.say(
-                source, messages.RequestRejected(0, "not leader", "no longer", leader, int(self.timing.heartbeat_ms))
-            )
-
-    def _no_session(self, source: str, body: messages.Body, session: int) -> None:
-        self.reject(source, body, "no session", f"session {session} is none of {source}")
-
-    def _busy(self, source: str, body: messages.Body) -> None:
-        text = f"{len(self.flights)} records and {len(self.asked)} questions wait"
-        self.reject(source, body, "busy", text, "", 4 * self.timing.heartbeat_ms)
-
-    # --- sessions ---
-
-    def _join(self, now: float, source: str, join: messages.OpenSession) -> None:
-        held, row = self.machine.session(source), self.machine.view.get(SESSIONS, source)
-        if join.client != source:
-            self.reject(source, join, "refused", f"{source} may not join as {join.client}")
-        elif join.version > sessions.VERSION:
-            self.reject(source, join, "too new", f"version {join.version}; {sessions.VERSION} is known here")
-        elif join.session:
-            if row is not None and row.kind == join.kind and self._lives(now, source, join.session):
-                self.leases.renew(now, held)
-                self._joined(now, source, held)
-            else:
-                self._no_session(source, join, join.session)
-        elif self.flights.joins(source):
-            pass  # said twice: the first will be answered
-        elif held and not self.leases.expired(now, held):
-            if self.here.get(source) != held:  # else said twice; another process of that name may act yet
-                left_ms = self.leases.remaining_ms(now, held)
-                self.reject(source, join, "busy", f"{source} has session {held} yet", "", left_ms + 1.0)
-        else:
-            place = self._propose(now, sessions.SessionStarted(source, join.kind))
-            self._fly(source, join, place, InFlightProposal(source, held, 0))
-
-    def _lives(self, now: float, source: str, session: int) -> bool:
-        return self.machine.holder(session) == source and not self.leases.expired(now, session)
-
-    def _joined(self, now: float, source: str, session: int) -> None:
-        self.here[source] = session
-        self.say(source, messages.SessionOpened(session, int(self.timing.lease_ms), self.clock.at(now)))
-
-    # --- questions ---
-
-    def _is_next(self, source: str, ask: messages.ProposeRequest) -> bool:
-        last = self.machine.view.get(ANSWERS, source)
-        return (
-            last is not None
-            and last.session == ask.session
-            and ask.application != MEMBERSHIP
-            and ask.seq == last.seq + self.flights.of(ask.session) + 1
-        )
-
-    def _ask(self, now: float, source: str, ask: messages.ProposeRequest) -> None:
-        last = self.machine.view.get(ANSWERS, source)
-        if last is None or last.session != ask.session:
-            self._no_session(source, ask, ask.session)
-        elif self.flights.has(ask.session, ask.seq):
-            pass  # said twice: the first will be answered
-        elif ask.application == MEMBERSHIP:
-            self._seats(now, source, ask)
-        elif ask.seq == last.seq and last.mark == sessions.request_digest(ask.application, ask.version, ask.body):
-            self.say(source, messages.ProposeReply(ask.seq, last.index, last.ok, last.text))
-        elif not self._is_next(source, ask):
-            self.reject(source, ask, "out of order", f"question {ask.seq} after {last.seq}")
-        elif misfit := self.machine.check_proposal(ask.application, ask.version, ask.body):
-            self.reject(source, ask, *misfit)
-        else:
-            kind = self.machine.view.get(SESSIONS, source).kind
-            octets = sessions.encode_proposal(ask, self.clock.at(now), source, kind)
-            self._fly(source, ask, self.raft.propose(now, octets), InFlightProposal(source, ask.session, ask.seq))
-
-    def _fly(self, source: str, body: messages.Body, place: int | None, one: InFlightProposal) -> None:
-        if place is None:  # the log is full, or the lead is being handed over
-            self._busy(source, body)
+                    self._context.reject_session(source, body, body.session)
+
+    def _handle_in_session(self, now: float, source: str, body: messages.KeepAlive | messages.WatchRequest) -> None:
+        if isinstance(body, messages.KeepAlive):
+            self._sessions.keep_alive(now, source, body)
+            return
+        defect = self._watches.watch(source, body.tables, body.since)
+        if defect is not None:
+            self._replies.reject(source, body, "refused", defect)
         else:
-            self.flights.begin(place, one)
+            self._sessions.connected[source] = body.session
 
-    def _seats(self, now: float, source: str, ask: messages.ProposeRequest) -> None:
-        """Beside a session's count of questions, since the machine knows of none: a session's last one. What
-        is so already is answered by a record that changes nothing."""
-        try:
-            if self.machine.view.get(SESSIONS, source).kind != "operator" or not ask.seq:
-                raise InvalidRequestError("operators may move seats")
-            seats = members_after(self.raft.members, self.keepers, ask.body)
-        except InvalidRequestError as error:
-            return self.reject(source, ask, "refused", str(error))
-        so_already, at_ms = set(seats) == set(self.raft.members), self.clock.at(now)
-        place = self._propose(now, sessions.TimePassed()) if so_already else self.raft.change_members(now, seats, at_ms)
-        self._fly(source, ask, place, InFlightProposal(source, ask.session, ask.seq))
-
-    def _read(self, source: str, read: messages.ReadRequest) -> None:
-        if self.machine.holder(self.here.get(source, 0)) != source:
-            return self._no_session(source, read, 0)
+    def _read(self, source: str, request: messages.ReadRequest) -> None:
+        session = self._sessions.connected.get(source, 0)
+        if self._machine.holder(session) != source:
+            self._context.reject_session(source, request, 0)
+            return
         try:
-            parts = read_rows(self.machine.view, read)
+            parts = read_rows(self._machine.view, request)
         except InvalidRequestError as error:
-            return self.reject(source, read, "refused", str(error))
-        for nth, part in enumerate(parts):
-            self.say(source, messages.ReadReply(read.seq, self.machine.applied, nth + 1 == len(parts), part))
-
-    # --- what was applied ---
-
-    def applied(self, now: float, entry: messages.Entry, done: AppliedCommand) -> None:
-        if not self.open and entry.term == self.term:
-            self._open(now)
-        if entry.index == self.passing:
-            self.passing = 0
-        one = self.flights.end(entry.index)
-        if one is None:
-            if done.session:  # an Ended
-                self.leases.remove(done.session)
-        elif not one.seq:
-            waits, lease_ms = self.flights.waits(one.source), self.timing.lease_ms
-            if done.ok:
-                self.leases.remove(one.session)
-                self.leases.renew(now, done.session)
-            if waits and done.ok:
-                self._joined(now, one.source, done.session)
-            elif waits:
-                self.say(
-                    one.source, messages.RequestRejected(0, done.rejection or "refused", done.text, "", int(lease_ms))
-                )
-        elif done.rejection:
-            self.say(
-                one.source,
-                messages.RequestRejected(one.seq, done.rejection, done.text, "", int(self.timing.heartbeat_ms)),
-            )
+            self._replies.reject(source, request, "refused", str(error))
+            return
+        for position, rows in enumerate(parts, start=1):
+            is_last = position == len(parts)
+            self._replies.send(source, messages.ReadReply(request.seq, self._machine.applied, is_last, rows))
+
+    # --- Events ---
+
+    def on_applied(self, now: float, entry: messages.Entry, result: AppliedCommand) -> None:
+        """Answer the client that waits for an entry that was applied."""
+        self._term.on_applied(now, entry)
+        proposal = self._in_flight.remove(entry.index)
+        if proposal is None:
+            if result.session:  # a SessionEnded
+                self._term.leases.remove(result.session)
+        elif proposal.seq:
+            self._proposals.on_applied(proposal, result)
         else:
-            self.say(one.source, messages.ProposeReply(one.seq, done.index, done.ok, done.text))
+            self._sessions.on_open_applied(now, proposal, result)
+
+    def on_disconnect(self, source: str) -> None:
+        """Forget a client's connection; its session goes on as long as its lease."""
+        self._sessions.connected.pop(source, None)
+        self._watches.remove(source)
+        self._in_flight.on_disconnect(source)
+
+    def on_leadership_lost(self, new_leader: str) -> None:
+        """Tell all clients that wait for something to ask elsewhere; `new_leader` is "" if none is known."""
+        waiting = [*self._sessions.connected, *self._in_flight.sources(), *self.barrier.sources()]
+        retry_after_ms = int(self._timing.heartbeat_ms)
+        for source in dict.fromkeys(waiting):
+            self._watches.remove(source)
+            rejection = messages.RequestRejected(0, "not leader", "no longer", new_leader, retry_after_ms)
+            self._replies.send(source, rejection)
+
+    def tick(self, now: float) -> None:
+        """Propose what is due."""
+        self._term.tick(now)
+
+    def next_wakeup_ms(self) -> float | None:
+        """Return when to call `tick` next, or None if nothing will be due."""
+        return self._term.next_wakeup_ms()
--- a/brookreach/coordination/server/leader_term.py
+++ b/brookreach/coordination/server/leader_term.py
@@ -1,52 +1,84 @@
-"""The agreed time, the leases and the due records of time in one term of a leader.
+"""What passes with time during one term of a leader: the agreed time, the sessions' leases, the timers.
 
-It owns when a record of time or of an ended session is proposed. It must never answer a client.
+It decides when the end of a session or the passing of time is proposed. It never answers a client.
 """
 
 from __future__ import annotations
 
+from brookreach.coordination.protocol.messages import Entry
 from brookreach.coordination.raft.node import RaftNode
-from brookreach.coordination.server.agreed_clock import AgreedTime
+from brookreach.coordination.server.agreed_clock import AgreedClock
 from brookreach.coordination.state_machine import sessions
 from brookreach.coordination.state_machine.machine import StateMachine
 from brookreach.coordination.timing import Timing
 
+LEASE_EXPIRED = "its lease ran out"  # the reason of a SessionEnded; replicated, so it never changes
+
 
 class LeaderTerm:
-    """One term; `open` once all entries of earlier terms are applied."""
+    """One term.
+
+    Attributes:
+        number: The term's number.
+        is_open: All entries of earlier terms are applied, so the state may be relied on.
+        clock: The agreed time.
+        leases: The sessions' leases.
+    """
 
     def __init__(self, now: float, raft: RaftNode, machine: StateMachine, timing: Timing) -> None:
-        self.raft, self.machine, self.timing = raft, machine, timing
-        self.term = raft.term
-        self.clock = AgreedTime(now, raft.low_median_wall_ms)
-        self.open = False
+        self.number = raft.term
+        self.is_open = False
+        self.clock = AgreedClock(now, raft.low_median_wall_ms)
         self.leases = sessions.SessionLeases(timing)
-        self.passing = 0  # where a Passed stands that is not yet applied
-        self.again_at = now  # no Passed before
+        self._raft = raft
+        self._machine = machine
+        self._timing = timing
+        self._time_passed_index: int | None = None  # of a TimePassed that is not yet applied
+        self._next_attempt_at = now  # no TimePassed is proposed before
 
-    def _open(self, now: float) -> None:
-        self.clock.no_less(now, self.machine.at_ms)
-        self.leases.reset(now, self.machine.sessions())
-        self.open = True
+    def propose(self, now: float, command: sessions.COMMANDS) -> int | None:
+        """Propose a command of the cluster itself; returns its index, or None if nothing can be proposed now."""
+        return self._raft.propose(now, sessions.encode_command(command, self.clock.read(now)))
+
+    def on_applied(self, now: float, entry: Entry) -> None:
+        """Take note of an applied entry; the first one of this term opens it."""
+        if not self.is_open and entry.term == self.number:
+            self.clock.advance_to(now, self._machine.at_ms)
+            self.leases.reset(now, self._machine.sessions())
+            self.is_open = True
+        if entry.index == self._time_passed_index:
+            self._time_passed_index = None
 
     def tick(self, now: float) -> None:
-        if not self.open:
+        """Propose what is due."""
+        if not self.is_open:
             return
         for session in self.leases.expirations_due(now):
-            self._propose(now, sessions.SessionEnded(session, "its lease ran out"))  # else it is named again
-        due = self.machine.next_timer_ms()
-        if due is not None and not self.passing and now >= self.again_at and due <= self.clock.at(now):
-            self.passing = self._propose(now, sessions.TimePassed()) or 0
-            self.again_at = now if self.passing else now + self.timing.heartbeat_ms
+            self.propose(now, sessions.SessionEnded(session, LEASE_EXPIRED))  # if not taken, it is due again later
+        if self._timer_is_due(now):
+            self._time_passed_index = self.propose(now, sessions.TimePassed())
+            if self._time_passed_index is None:
+                self._next_attempt_at = now + self._timing.heartbeat_ms
+            else:
+                self._next_attempt_at = now
+
+    def _timer_is_due(self, now: float) -> bool:
+        if self._time_passed_index is not None or now < self._next_attempt_at:
+            return False
+        timer_ms = self._machine.next_timer_ms()
+        return timer_ms is not None and timer_ms <= self.clock.read(now)
 
     def next_wakeup_ms(self) -> float | None:
-        if not self.open:
+        """Return when to call `tick` next, or None if nothing will be due."""
+        if not self.is_open:
+            return None
+        times = [self.leases.next_expiry_ms(), self._next_timer_attempt()]
+        return min((time for time in times if time is not None), default=None)
+
+    def _next_timer_attempt(self) -> float | None:
+        if self._time_passed_index is not None:
+            return None
+        timer_ms = self._machine.next_timer_ms()
+        if timer_ms is None:
             return None
-        due = None if self.passing else self.machine.next_timer_ms()
-        times = (self.leases.next_expiry_ms(), None if due is None else max(self.again_at, self.clock.when(due)))
-        return min((one for one in times if one is not None), default=None)
-
-    def _propose(
-        self, now: float, order: sessions.SessionStarted | sessions.SessionEnded | sessions.TimePassed
-    ) -> int | None:
-        return self.raft.propose(now, sessions.encode_command(order, self.clock.at(now)))
+        return max(self._next_attempt_at, self.clock.local_time_of(timer_ms))
--- a/brookreach/coordination/server/process.py
+++ b/brookreach/coordination/server/process.py
@@ -1,9 +1,11 @@
-"""One keeper as a process: `brookreach fleet keep`. Its disk, its sockets, its clock, and its end.
+"""A replica's process: `brookreach fleet keep`. Its storage, its sockets, its clock, and its end.
 
-It owns the order save, send, apply, and what ends the process: SIGTERM, a disk or a record that can't be
-gone on with. It must never go on after a save failed. The save is made on the loop's own thread: nothing of
-this keeper may go out before it lasts, and what comes meanwhile waits in the kernel, which pushes back; a
-thread would only let it pile up here. A disk that stalls for an election time costs the lead, as it should.
+It saves, sends and applies in this order, and ends on SIGTERM, or when its storage or a log entry can't be gone on
+with. After a failed save it never goes on.
+
+Saves are made on the event loop's own thread: nothing may leave before it is durable anyway, and what comes meanwhile
+waits in the kernel, which pushes back; with a thread it would only pile up here. A disk that stalls for an election
+timeout costs the leadership, as it should.
 """
 
 from __future__ import annotations
@@ -24,143 +26,182 @@
 from brookreach.coordination.protocol.stream import DEFAULT_LIMITS
 from brookreach.coordination.raft.types import Ready
 from brookreach.coordination.server.replica import Replica
-from brookreach.coordination.server.transport import Say, Transport, first
+from brookreach.coordination.server.transport import LogLine, Transport, describe_first
 from brookreach.coordination.state_machine.application import Application
 from brookreach.coordination.storage.sqlite import SqliteStorage
 from brookreach.files import BadFile
 
-MOST_HEARD = 512  # messages of clients before what they bring is saved, as one
-MOST_ROUNDS = 64  # of ready and taken before the sockets have their turn
-MOST_WAIT_S = 1.0
-DISK = "keeper.sqlite"
-BAD_FILE, ENDED_ITSELF = 2, 3  # exit codes
-
-
-def open_storage(path: Path, told: configuration.ClusterConfiguration, me: str) -> SqliteStorage:
-    """Raises BadFile for a keeper that the file does not name, DiskError for what can't be opened."""
-    part = next((one for one in told.keeper if one.name == me), None)
-    if part is None:
-        raise BadFile([f"{path}: no keeper {me!r}; there are {', '.join(one.name for one in told.keeper)}"])
-    folder = path.parent / part.disk
+MAX_CLIENT_MESSAGES_PER_SAVE = 512
+MAX_READY_ROUNDS = 64  # before the sockets have their turn
+MAX_WAIT_S = 1.0
+SHUTDOWN_POLLS_PER_HEARTBEAT = 5
+FLUSH_S = 0.02  # in which what was said to clients is written before the process ends
+SPARE_DESCRIPTORS = 64  # beside those of connections
+STORAGE_FILE = "keeper.sqlite"
+EXIT_CONFIGURATION = 2
+EXIT_HALTED = 3
+
+
+def open_storage(path: Path, cluster: configuration.ClusterConfiguration, name: str) -> SqliteStorage:
+    """Open a replica's storage in the folder that the configuration file names, which is made if need be.
+
+    Raises:
+        BadFile: If the file names no such replica.
+        StorageError: If the storage can't be opened.
+    """
+    replica = next((replica for replica in cluster.keeper if replica.name == name), None)
+    if replica is None:
+        known = ", ".join(replica.name for replica in cluster.keeper)
+        raise BadFile([f"{path}: no keeper {name!r}; there are {known}"])
+    folder = path.parent / replica.disk
     try:
         folder.mkdir(mode=0o700, parents=True, exist_ok=True)
     except OSError as error:
-        raise StorageError(f"{folder}: {error.strerror}") from None
-    return SqliteStorage(folder / DISK, told.group.name, me)
+        raise StorageError(f"{folder}: {error.strerror}") from error
+    return SqliteStorage(folder / STORAGE_FILE, cluster.group.name, name)
 
 
 class ReplicaProcess:
-    """Raises BadFile and DiskError where it can't begin."""
-
-    def __init__(self, path: Path, me: str, pieces: Sequence[Application], say: Say):
-        told = configuration.read(path)
-        key = configuration.read_key(path, told)
-        self.me, self.say = me, say
-        self.disk = open_storage(path, told, me)
-        kept = self.disk.load()
-        if not kept.snapshot.members:
+    """The process of one replica.
+
+    Attributes:
+        exit_code: What the process ends with.
+    """
+
+    def __init__(self, path: Path, name: str, applications: Sequence[Application], log: LogLine):
+        """Read the configuration file and open the storage.
+
+        Raises:
+            BadFile: If the file is not usable.
+            StorageError: If the storage is not usable, or holds no replica.
+        """
+        cluster = configuration.read(path)
+        key = configuration.read_key(path, cluster)
+        self.exit_code = 0
+        self._name = name
+        self._log = log
+        self._storage = open_storage(path, cluster, name)
+        stored = self._storage.load()
+        if not stored.snapshot.members:
             raise StorageError(
-                f"{self.disk.path}: holds no keeper: brookreach fleet found (a new group) or "
+                f"{self._storage.path}: holds no keeper: brookreach fleet found (a new group) or "
                 "brookreach fleet join (a new keeper of a group), once"
             )
-        chance, addresses = random.Random(), told.addresses()
-        self.keeper = Replica(me, pieces, kept, told.group.name, told.times(), chance, tuple(addresses))
-        self.link = Transport(me, told.group.name, key, addresses, say, chance)
-        self.stood = ("", False)  # leader and whether it is this one, as it was logged last
-        self.code = 0
+        rng = random.Random()
+        addresses = cluster.addresses()
+        cluster_name = cluster.group.name
+        self._replica = Replica(name, applications, stored, cluster_name, cluster.times(), rng, tuple(addresses))
+        self._transport = Transport(name, cluster_name, key, addresses, log, rng)
+        self._logged_leader: tuple[str, bool] = ("", False)  # its name, and whether it is this replica
 
     async def run(self) -> int:
-        """Until its end; the exit code."""
+        """Run to the end; returns the exit code."""
+        raft = self._replica.raft
         try:
             async with anyio.create_task_group() as tasks:
-                await tasks.start(self.link.run)
-                self.say(
-                    "keeper",
-                    f"{self.me} listens, {len(self.keeper.raft.members)} seats, place {self.keeper.raft.commit_index}",
-                )
-                tasks.start_soon(self._signals, tasks.cancel_scope)
-                tasks.start_soon(self._turns, tasks.cancel_scope)
-        except* OSError as group:
-            self.say("keeper", f"ends: {first(group)}")
-            self.code = BAD_FILE
-        self.disk.close()
-        return self.code
-
-    async def _signals(self, scope: anyio.CancelScope) -> None:
+                await tasks.start(self._transport.run)
+                self._log("keeper", f"{self._name} listens, {len(raft.members)} seats, place {raft.commit_index}")
+                tasks.start_soon(self._shut_down_on_signal, tasks.cancel_scope)
+                tasks.start_soon(self._run_replica, tasks.cancel_scope)
+        except* OSError as errors:
+            self._log("keeper", f"ends: {describe_first(errors)}")
+            self.exit_code = EXIT_CONFIGURATION
+        self._storage.close()
+        return self.exit_code
+
+    async def _shut_down_on_signal(self, scope: anyio.CancelScope) -> None:
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
             async for _ in signals:
                 break
-            leads = self.keeper.is_leader
-            self.say("keeper", "hands its lead over and ends" if leads else "ends")
-            if self.keeper.shut_down(now_ms()):
-                with anyio.move_on_after(2.0 * self.keeper.timing.election_timeout_ms / 1000.0):
-                    while self.keeper.is_leader:
-                        self.link.inbox.arrived.set()
-                        await anyio.sleep(self.keeper.timing.heartbeat_ms / 5000.0)
-            self.link.inbox.arrived.set()
-            await anyio.sleep(0.02)  # what was said to clients is written
-            scope.cancel()
-
-    async def _turns(self, scope: anyio.CancelScope) -> None:
+        replica = self._replica
+        self._log("keeper", "hands its lead over and ends" if replica.is_leader else "ends")
+        if replica.shut_down(now_ms()):
+            await self._wait_for_successor()
+        self._transport.inbox.arrived.set()
+        await anyio.sleep(FLUSH_S)
+        scope.cancel()
+
+    async def _wait_for_successor(self) -> None:
+        timing = self._replica.timing
+        poll_s = timing.heartbeat_ms / SHUTDOWN_POLLS_PER_HEARTBEAT / 1000.0
+        with anyio.move_on_after(2.0 * timing.election_timeout_ms / 1000.0):
+            while self._replica.is_leader:
+                self._transport.inbox.arrived.set()
+                await anyio.sleep(poll_s)
+
+    async def _run_replica(self, scope: anyio.CancelScope) -> None:
         try:
             while True:
-                self._pump()
-                wait_s = min(MOST_WAIT_S, (self.keeper.next_wakeup_ms() - now_ms()) / 1000.0)
-                await self.link.inbox.wait(wait_s)
-                self._turn()
+                self._process_ready()
+                wait_s = min(MAX_WAIT_S, (self._replica.next_wakeup_ms() - now_ms()) / 1000.0)
+                await self._transport.inbox.wait(wait_s)
+                self._process_input()
         except (StorageError, ReplicaHaltedError) as error:
-            self.say("keeper", f"ends: {error}")
-            self.code = ENDED_ITSELF
+            self._log("keeper", f"ends: {error}")
+            self.exit_code = EXIT_HALTED
             scope.cancel()
 
-    def _turn(self) -> None:
-        """Whatever came, as one save."""
-        keeper, link, wall_ms = self.keeper, self.link, int(time.time() * 1000.0)
-        while link.left:
-            keeper.client_disconnected(now_ms(), link.left.popleft())
-        for source, body in link.inbox.take(MOST_HEARD):
-            keeper.handle_message(now_ms(), wall_ms, source, body)
-        keeper.tick(now_ms(), wall_ms)
-        self._pump()
-
-    def _pump(self) -> None:
-        keeper = self.keeper
-        for _ in range(MOST_ROUNDS):
-            if keeper.watches.waits:
-                keeper.slow_clients = self.link.full()
-            ready = keeper.ready()
+    def _process_input(self) -> None:
+        """Take what came, to be saved as one."""
+        replica = self._replica
+        transport = self._transport
+        wall_ms = int(time.time() * 1000.0)
+        while transport.disconnected:
+            replica.client_disconnected(transport.disconnected.popleft())
+        for source, body in transport.inbox.take(MAX_CLIENT_MESSAGES_PER_SAVE):
+            replica.handle_message(now_ms(), wall_ms, source, body)
+        replica.tick(now_ms(), wall_ms)
+        self._process_ready()
+
+    def _process_ready(self) -> None:
+        replica = self._replica
+        for _ in range(MAX_READY_ROUNDS):
+            if replica.watches.has_pending:
+                replica.slow_clients = self._transport.slow_receivers()
+            ready = replica.ready()
             if ready == Ready():
                 break
             if ready.save is not None:
-                self.disk.save(ready.save)
+                self._storage.save(ready.save)
             for target, body in ready.send:
-                self.link.send(target, body)
-            keeper.advance(now_ms(), ready)
-        stands = keeper.raft.leader, keeper.is_leader
-        if stands != self.stood:
-            self.stood = stands
-            text = "leads" if keeper.is_leader else f"follows {stands[0]}" if stands[0] else "hears no leader"
-            self.say("keeper", f"{text}, term {keeper.raft.term}, place {keeper.machine.applied}")
-
-
-def room_for_clients() -> None:
-    """As many descriptors as the system allows, up to what clients may take."""
+                self._transport.send(target, body)
+            replica.advance(now_ms(), ready)
+        self._log_leader()
+
+    def _log_leader(self) -> None:
+        """Log a change of the leader."""
+        replica = self._replica
+        leader = replica.raft.leader
+        if (leader, replica.is_leader) == self._logged_leader:
+            return
+        self._logged_leader = (leader, replica.is_leader)
+        if replica.is_leader:
+            status = "leads"
+        elif leader:
+            status = f"follows {leader}"
+        else:
+            status = "hears no leader"
+        self._log("keeper", f"{status}, term {replica.raft.term}, place {replica.machine.applied}")
+
+
+def raise_descriptor_limit() -> None:
+    """Allow as many file descriptors as the system lets, up to what connections may take."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    wanted = DEFAULT_LIMITS.max_clients + DEFAULT_LIMITS.max_unidentified + 64
-    most = wanted if hard == resource.RLIM_INFINITY else min(wanted, hard)
-    if soft != resource.RLIM_INFINITY and soft < most:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (most, hard))
+    wanted = DEFAULT_LIMITS.max_clients + DEFAULT_LIMITS.max_unidentified + SPARE_DESCRIPTORS
+    limit = wanted if hard == resource.RLIM_INFINITY else min(wanted, hard)
+    if soft != resource.RLIM_INFINITY and soft < limit:
+        resource.setrlimit(resource.RLIMIT_NOFILE, (limit, hard))
 
 
-def run_replica(path: Path, me: str, pieces: Sequence[Application], say: Say) -> int:
-    """One keeper to its end; its exit code."""
+def run_replica(path: Path, name: str, applications: Sequence[Application], log: LogLine) -> int:
+    """Run a replica to its end; returns its exit code."""
     try:
-        process = ReplicaProcess(path, me, pieces, say)
+        process = ReplicaProcess(path, name, applications, log)
     except BadFile as error:
-        say("keeper", f"can't begin: {error}")
-        return BAD_FILE
+        log("keeper", f"can't begin: {error}")
+        return EXIT_CONFIGURATION
     except (StorageError, ReplicaHaltedError) as error:
-        say("keeper", f"ends: {error}")
-        return ENDED_ITSELF
-    room_for_clients()
+        log("keeper", f"ends: {error}")
+        return EXIT_HALTED
+    raise_descriptor_limit()
     return anyio.run(process.run)
--- a/brookreach/coordination/server/watches.py
+++ b/brookreach/coordination/server/watches.py
@@ -1,8 +1,8 @@
-"""Who watches which tables, and what each is told next: changes, or the whole where that is shorter.
+"""Which client watches which tables, and what each is told next: changes, or a copy of the tables where it is shorter.
 
-It owns each watcher's place in the one ring of changes, and the order of turns. It must never queue anything
-for anyone: a client that takes nothing stays where it is until the ring no longer reaches back to it, and is
-told the whole later. Nor may the many that return at once wait for a few.
+Nothing is queued for a client: it has an index in the one feed of changes. A client that takes nothing stays there
+until the feed no longer reaches back to it, and is sent a copy later. Clients take turns, one message each, so that
+many that return at once don't wait for a few.
 """
 
 from __future__ import annotations
@@ -12,157 +12,206 @@
 
 from brookreach.coordination.ports import AppliedCommand
 from brookreach.coordination.protocol import messages
-from brookreach.coordination.server.change_feed import MARKS, ChangeFeed, Copy, Found, Names, digest_markers
+from brookreach.coordination.server.change_feed import (
+    MAX_WATCHED_TABLES,
+    ChangeFeed,
+    FeedUpdate,
+    TableNames,
+    digest_markers,
+)
+from brookreach.coordination.server.table_copies import TableCopies
+from brookreach.coordination.server.watcher import Watcher
 from brookreach.coordination.state_machine import sessions
 from brookreach.coordination.state_machine.machine import StateMachine
 
-MAX_HISTORY_BYTES = 16 << 20  # bytes of changes held for all
+MAX_HISTORY_BYTES = 16 << 20  # of changes kept for all clients
 MAX_MESSAGE_BYTES = messages.MAX_FRAME_BYTES // 2 - (16 << 10)  # of one message's rows
-MAX_UNREPORTED_ENTRIES = 4096  # entries that change nothing for a client, before it's told how far the log is
+MAX_UNREPORTED_ENTRIES = 4096  # that change nothing for a client, before it is told the log's index
+MESSAGE_OVERHEAD_BYTES = 64  # of a message beside its rows, about
+MAX_DEFECT_LENGTH = 400  # as messages.Text
 
 
-@dataclass(slots=True)
-class Watcher:
-    names: Names
-    since: int  # as it asked
-    told: int  # up to where
-    seen: int  # between `told` and this nothing is for it
-    least: int  # an older copy would take it back
-    fresh: bool = True  # no answer yet
-    whole: bool = False  # changes won't do
-    copy: Copy | None = None
-    nth: int = 0
+@dataclass(frozen=True, slots=True)
+class _Next:
+    """What a client is told next, if anything, and about how many bytes that takes."""
 
+    message: messages.Body | None = None
+    size: int = 0
 
-class Watches:
-    def __init__(self, machine: StateMachine, most_ring: int = MAX_HISTORY_BYTES, most_bytes: int = MAX_MESSAGE_BYTES):
-        self._machine, self._ring = machine, ChangeFeed(machine, most_ring, most_bytes)
-        self._clients: dict[str, Watcher] = {}
-        self._groups: dict[Names, dict[str, None]] = {}
-        self._pending: dict[str, None] = {}  # in the order of their turns
+
+class WatchService:
+    """All watches of one replica."""
+
+    def __init__(
+        self,
+        machine: StateMachine,
+        max_history_bytes: int = MAX_HISTORY_BYTES,
+        max_message_bytes: int = MAX_MESSAGE_BYTES,
+    ):
+        self._machine = machine
+        self._feed = ChangeFeed(machine, max_history_bytes, max_message_bytes)
+        self._copies = TableCopies(machine, self._feed, max_message_bytes)
+        self._watchers: dict[str, Watcher] = {}
+        self._clients_by_tables: dict[TableNames, dict[str, None]] = {}
+        self._pending: dict[str, None] = {}  # clients in the order of their turns
 
     @property
-    def waits(self) -> bool:
+    def has_pending(self) -> bool:
+        """Whether a client is still to be told something."""
         return bool(self._pending)
 
     @property
-    def octets(self) -> int:
-        """Held for all watchers together."""
-        return self._ring.octets
+    def history_bytes(self) -> int:
+        """Bytes of the changes kept for all clients."""
+        return self._feed.size
 
-    # --- what the machine did ---
+    # --- Events of the state machine ---
 
-    def took(self, applied: AppliedCommand) -> None:
-        """After each `StateMachine.apply`, before the next."""
+    def on_applied(self, result: AppliedCommand) -> None:
+        """Take the changes of an entry, after each `StateMachine.apply` and before the next."""
         index = self._machine.applied
-        if index != self._ring.index + 1:
-            raise ValueError(f"watches were told of place {self._ring.index}, then of {index}")
-        moved = self._ring.took(applied.changes)
+        if index != self._feed.index + 1:
+            raise ValueError(f"watches were told of index {self._feed.index}, then of {index}")
+        tables = self._feed.append(result.changes)
         if index % MAX_UNREPORTED_ENTRIES == 0:
-            for client, watcher in self._clients.items():
-                if watcher.told <= index - MAX_UNREPORTED_ENTRIES:
-                    self._due(client, index - 1)
-        if moved:
-            for names, group in self._groups.items():
-                if not set(moved).isdisjoint(names):
-                    for client in group:
-                        self._due(client, index - 1)
-
-    def restored(self) -> None:
-        """After `StateMachine.restore`: all are told the whole."""
-        self._ring.restored()
-        for client, watcher in self._clients.items():
-            watcher.whole, watcher.copy = True, None
+            for client, watcher in self._watchers.items():
+                if watcher.reported_index <= index - MAX_UNREPORTED_ENTRIES:
+                    self._schedule(client, index - 1)
+        if not tables:
+            return
+        for watched, clients in self._clients_by_tables.items():
+            if not set(tables).isdisjoint(watched):
+                for client in clients:
+                    self._schedule(client, index - 1)
+
+    def on_restored(self) -> None:
+        """Let all clients be sent a copy, after `StateMachine.restore`."""
+        self._feed.reset()
+        self._copies.clear()
+        for client, watcher in self._watchers.items():
+            watcher.require_copy()
             self._pending[client] = None
 
-    def _due(self, client: str, before: int) -> None:
-        """Nothing up to `before` was for it, or it waits already."""
+    def _schedule(self, client: str, checked_index: int) -> None:
+        """Give the client a turn, unless it waits for one: nothing up to `checked_index` concerned it."""
         if client not in self._pending:
-            watcher = self._clients[client]
-            watcher.seen = max(watcher.seen, before)
+            watcher = self._watchers[client]
+            watcher.checked_index = max(watcher.checked_index, checked_index)
             self._pending[client] = None
 
-    # --- what clients ask ---
+    # --- Requests ---
 
     def watch(self, client: str, tables: Collection[str], since: int) -> str | None:
+        """Begin to tell a client what changes in these tables after `since`; returns what is wrong with that, if any.
+
+        A client has one watch: another request replaces it, the same one again keeps its turn.
+        """
         names = tuple(sorted(set(tables)))
-        known = sorted(set(self._machine.view.types) - sessions.UNWATCHED_TABLES)
-        if not names or len(names) > MARKS:
-            return f"{len(names)} tables; 1 to {MARKS} are allowed"
-        if strange := [one for one in names if one not in known]:
-            return f"no table {strange[0]!r}; there are {', '.join(known)}"[:400]
-        old, index = self._clients.get(client), self._ring.index
-        if old and old.fresh and (old.names, old.since) == (names, since):
-            return None  # asked again while it waits: it keeps its turn
-        self.gone(client)
-        whole = not 0 < since <= index or since < self._ring.floor
-        told = 0 if whole else since
-        self._clients[client] = Watcher(names, since, told, told, index if old else told, whole=whole)
-        self._groups.setdefault(names, {})[client] = None
+        defect = self._find_defect(names)
+        if defect is not None:
+            return defect
+        old = self._watchers.get(client)
+        index = self._feed.index
+        if old is not None and old.is_new and (old.tables, old.since) == (names, since):
+            return None
+        self.remove(client)
+        needs_copy = not 0 < since <= index or since < self._feed.floor_index
+        reported_index = 0 if needs_copy else since
+        min_copy_index = reported_index if old is None else index
+        self._watchers[client] = Watcher(
+            names, since, reported_index, reported_index, min_copy_index, needs_copy=needs_copy
+        )
+        self._clients_by_tables.setdefault(names, {})[client] = None
         self._pending[client] = None
         return None
 
-    def gone(self, client: str) -> None:
-        watcher = self._clients.pop(client, None)
+    def _find_defect(self, names: TableNames) -> str | None:
+        known = sorted(set(self._machine.view.types) - sessions.UNWATCHED_TABLES)
+        if not names or len(names) > MAX_WATCHED_TABLES:
+            return f"{len(names)} tables; 1 to {MAX_WATCHED_TABLES} are allowed"
+        unknown = [name for name in names if name not in known]
+        if unknown:
+            return f"no table {unknown[0]!r}; there are {', '.join(known)}"[:MAX_DEFECT_LENGTH]
+        return None
+
+    def remove(self, client: str) -> None:
+        """Forget a client's watch."""
+        watcher = self._watchers.pop(client, None)
         self._pending.pop(client, None)
         if watcher is None:
             return
-        group = self._groups[watcher.names]
-        del group[client]
-        if not group:
-            del self._groups[watcher.names]
-            self._ring.forget(watcher.names)
-
-    # --- what they are told ---
-
-    def out(self, octets: int, held: Collection[str] = ()) -> list[tuple[str, messages.Body]]:
-        """One message each by turns, until they are about so many bytes. Those in `held` have not taken yet
-        what they were told before, and wait."""
-        if self._machine.applied != self._ring.index:
-            raise ValueError(f"place {self._machine.applied} is applied, watches know {self._ring.index}")
-        said: list[tuple[str, messages.Body]] = []
-        spent = passed = 0
-        while spent < octets and passed < len(self._pending):
+        clients = self._clients_by_tables[watcher.tables]
+        del clients[client]
+        if not clients:
+            del self._clients_by_tables[watcher.tables]
+            self._copies.forget(watcher.tables)
+
+    # --- Messages ---
+
+    def next_messages(self, max_bytes: int, slow_clients: Collection[str] = ()) -> list[tuple[str, messages.Body]]:
+        """Return one message for each client by turns, until they are about `max_bytes` together.
+
+        Args:
+            max_bytes: Bound on the messages' bytes, which the last one may exceed.
+            slow_clients: Clients that have not taken earlier messages yet; they keep waiting.
+        """
+        if self._machine.applied != self._feed.index:
+            raise ValueError(f"index {self._machine.applied} is applied, watches know {self._feed.index}")
+        found: list[tuple[str, messages.Body]] = []
+        size = 0
+        skipped = 0
+        while size < max_bytes and skipped < len(self._pending):
             client = next(iter(self._pending))
             del self._pending[client]
-            if client in held:
+            if client in slow_clients:
                 self._pending[client] = None
-                passed += 1
+                skipped += 1
                 continue
-            passed = 0
-            watcher = self._clients[client]
-            body, weighs = self._next(watcher)
-            if body is not None:
-                said.append((client, body))
-                spent += weighs
-            if watcher.copy or watcher.whole or watcher.seen < self._ring.index:
+            skipped = 0
+            watcher = self._watchers[client]
+            following = self._next_for(watcher)
+            if following.message is not None:
+                found.append((client, following.message))
+                size += following.size
+            if watcher.copy or watcher.needs_copy or watcher.checked_index < self._feed.index:
                 self._pending[client] = None
-        return said
-
-    def _next(self, watcher: Watcher) -> tuple[messages.Body | None, int]:
-        if watcher.copy and watcher.copy.index < self._ring.floor:
-            watcher.copy, watcher.whole = None, True  # the rest of it would lead nowhere
-        if not watcher.copy and not watcher.whole:
-            found = self._ring.changes(watcher.names, watcher.seen)
-            if found is not None:
-                return self._changes(watcher, found)
+        return found
+
+    def _next_for(self, watcher: Watcher) -> _Next:
+        if watcher.copy is not None and watcher.copy.index < self._feed.floor_index:
+            watcher.require_copy()  # the changes after the rest of it are gone
+        if watcher.copy is None and not watcher.needs_copy:
+            update = self._feed.update_after(watcher.tables, watcher.checked_index)
+            if update is not None:
+                return self._next_update(watcher, update)
         if watcher.copy is None:
-            watcher.copy, watcher.nth = self._ring.copy(watcher.names, watcher.least), 0
-            watcher.whole = False
-        copy, nth = watcher.copy, watcher.nth
-        last = nth + 1 == len(copy.parts)
-        watcher.nth, watcher.fresh = nth + 1, False
-        if last:
+            watcher.begin_copy(self._copies.get(watcher.tables, watcher.min_copy_index))
+        return self._next_part(watcher)
+
+    @staticmethod
+    def _next_part(watcher: Watcher) -> _Next:
+        copy = watcher.copy
+        if copy is None:
+            return _Next()
+        number = watcher.next_part
+        part = copy.parts[number]
+        is_last = number + 1 == len(copy.parts)
+        watcher.next_part = number + 1
+        watcher.is_new = False
+        if is_last:
             watcher.copy = None
-            watcher.told = watcher.seen = watcher.least = copy.index
-        rows, octets = copy.parts[nth]
-        return messages.WatchSnapshot(copy.index, nth, last, rows), 64 + octets
-
-    def _changes(self, watcher: Watcher, found: Found) -> tuple[messages.Body | None, int]:
-        since, fresh = watcher.told, watcher.fresh
-        watcher.told = watcher.seen = watcher.least = found.upto
-        watcher.fresh = False
-        if since == found.upto and not fresh:
-            return None, 0
-        marks = digest_markers(watcher.names if fresh else watcher.names[:1], found.total)
-        return messages.WatchUpdate(since, found.upto, marks + found.rows), 64 + found.octets
+            watcher.report(copy.index)
+        message = messages.WatchSnapshot(copy.index, number, is_last, part.rows)
+        return _Next(message, MESSAGE_OVERHEAD_BYTES + part.size)
+
+    @staticmethod
+    def _next_update(watcher: Watcher, update: FeedUpdate) -> _Next:
+        since = watcher.reported_index
+        is_first = watcher.is_new
+        watcher.report(update.index)
+        watcher.is_new = False
+        if since == update.index and not is_first:
+            return _Next()
+        markers = digest_markers(watcher.tables if is_first else watcher.tables[:1], update.digest_sum)
+        message = messages.WatchUpdate(since, update.index, markers + update.rows)
+        return _Next(message, MESSAGE_OVERHEAD_BYTES + update.size)
--- a/brookreach/simulation/engine/participants.py
+++ b/brookreach/simulation/engine/participants.py
@@ -89,10 +89,10 @@
                 self.die("killed after a promise")
                 self.world.at(self.world.now + 80.0, "", "heal", Fault(0, "kill", (self.name,)))  # if none else does
             case "closed" if self.world.hung_up(self.name, *load):
-                self.keeper.client_disconnected(self.now(), load[0])
+                self.keeper.client_disconnected(load[0])
                 self.flush()
             case "again":
-                self.keeper.client_disconnected(self.now(), load)
+                self.keeper.client_disconnected(load)
                 self.flush()
 
     def fell(self) -> None:
