--- a/brookreach/coordination/server/leader_term.py
+++ b/brookreach/coordination/server/leader_term.py
@@ -10,6 +10,7 @@
 from brookreach.coordination.server.agreed_clock import AgreedClock
 from brookreach.coordination.state_machine import sessions
 from brookreach.coordination.state_machine.machine import StateMachine
+from brookreach.coordination.state_machine.session_leases import SessionLeases
 from brookreach.coordination.timing import Timing
 
 LEASE_EXPIRED = "its lease ran out"  # the reason of a SessionEnded; replicated, so it never changes
@@ -29,14 +30,14 @@
         self.number = raft.term
         self.is_open = False
         self.clock = AgreedClock(now, raft.low_median_wall_ms)
-        self.leases = sessions.SessionLeases(timing)
+        self.leases = SessionLeases(timing)
         self._raft = raft
         self._machine = machine
         self._timing = timing
         self._time_passed_index: int | None = None  # of a TimePassed that is not yet applied
         self._next_attempt_at = now  # no TimePassed is proposed before
 
-    def propose(self, now: float, command: sessions.COMMANDS) -> int | None:
+    def propose(self, now: float, command: sessions.SessionCommand) -> int | None:
         """Propose a command of the cluster itself; returns its index, or None if nothing can be proposed now."""
         return self._raft.propose(now, sessions.encode_command(command, self.clock.read(now)))
 
--- a/brookreach/coordination/server/proposal_handler.py
+++ b/brookreach/coordination/server/proposal_handler.py
@@ -49,7 +49,7 @@
     def _is_retry(request: messages.ProposeRequest, last: sessions.AnswerRow) -> bool:
         if request.seq != last.seq:
             return False
-        return last.mark == sessions.request_digest(request.application, request.version, request.body)
+        return last.digest == sessions.request_digest(request.application, request.version, request.body)
 
     def _propose_new(self, now: float, source: str, request: messages.ProposeRequest) -> None:
         context = self._context
--- a/brookreach/coordination/server/transport.py
+++ b/brookreach/coordination/server/transport.py
@@ -17,13 +17,9 @@
 
 from brookreach.coordination.errors import InvalidFrameError
 from brookreach.coordination.protocol import frames, messages
-from brookreach.coordination.protocol.stream import (
-    CONNECTION_ERRORS,
-    DEFAULT_LIMITS,
-    ConnectionLimits,
-    Inbox,
-    SendQueue,
-)
+from brookreach.coordination.protocol.inbox import Inbox
+from brookreach.coordination.protocol.limits import DEFAULT_LIMITS, ConnectionLimits
+from brookreach.coordination.protocol.stream import CONNECTION_ERRORS, SendQueue
 from brookreach.coordination.server.incoming_connection import IncomingConnection
 from brookreach.net.backoff import Backoff
 
