--- a/brookreach/coordination/raft/membership.py
+++ b/brookreach/coordination/raft/membership.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from brookreach.coordination.ports import LogRecord
+from brookreach.coordination.protocol.log_record import LogRecord
 from brookreach.coordination.protocol.messages import MAX_MEMBERS, Entry, Name
 
 APPLICATION = "seats"  # the name under which membership entries are in the log
--- a/brookreach/coordination/raft/node.py
+++ b/brookreach/coordination/raft/node.py
@@ -27,12 +27,7 @@
 
 
 class RaftNode:
-    """One replica's part in the cluster.
-
-    Attributes:
-        state: What the parts of the node share.
-        replication: The leader's part, while this node leads.
-    """
+    """One replica's part in the cluster; `replication` is the leader's part, while this node leads."""
 
     def __init__(
         self, name: str, stored: StoredState, configured_members: tuple[str, ...], timing: Timing, rng: random.Random
@@ -150,8 +145,7 @@
         """Append an entry to the log.
 
         Returns:
-            The index that it has if it is ever committed. None: this node does not lead or hands its leadership over,
-            too many entries wait to be committed, or the data is not allowed.
+            Its index, if it is ever committed. None: this node can't take it now, or the data is not allowed.
         """
         state = self.state
         state.advance_clock(now)
@@ -168,8 +162,8 @@
         """Request a linearizable read.
 
         Returns:
-            A ticket that `Ready.reads` names once this node is known to have led after `now`; tickets not named yet
-            are void when it stops leading. 0: it does not lead, or too many reads wait.
+            A ticket that `Ready.reads` names once this node is known to have led after `now`, unless it stops leading
+            before. 0: it does not lead, or too many reads wait.
         """
         state = self.state
         state.advance_clock(now)
--- a/brookreach/coordination/server/change_feed.py
+++ b/brookreach/coordination/server/change_feed.py
@@ -18,7 +18,7 @@
 from brookreach.coordination.state_machine.machine import StateMachine
 from brookreach.coordination.state_machine.tables import ROW_DIGEST_BYTES, encoded_size
 
-MAX_WATCHED_TABLES = 64  # as messages.WatchRequest; a message has a marker for each at most
+MAX_CHANGED_ROWS = messages.MAX_ROWS - messages.MAX_WATCHED_TABLES  # of a message, beside its markers
 
 Rows = tuple[messages.RowChange, ...]
 TableNames = tuple[str, ...]
@@ -139,7 +139,7 @@
             changes = [change for change in entry.changes if change.table in tables]
             entry_size = sum(encoded_size(change) for change in changes)
             final_sizes.update(((change.table, change.key), encoded_size(change)) for change in changes)
-            has_too_many_rows = len(rows) + len(changes) > messages.MAX_ROWS - MAX_WATCHED_TABLES
+            has_too_many_rows = len(rows) + len(changes) > MAX_CHANGED_ROWS
             is_full = is_full or has_too_many_rows or size + entry_size > self._max_message_bytes
             if is_full:
                 digest_sum -= sum(entry.digest_deltas.get(table, 0) for table in tables)
--- a/brookreach/coordination/server/leader.py
+++ b/brookreach/coordination/server/leader.py
@@ -10,7 +10,6 @@
 
 from collections.abc import Sequence
 
-from brookreach.coordination.ports import AppliedCommand
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.raft.node import RaftNode
 from brookreach.coordination.server.errors import InvalidRequestError
@@ -23,6 +22,7 @@
 from brookreach.coordination.server.replies import ClientReplies
 from brookreach.coordination.server.session_handler import SessionHandler
 from brookreach.coordination.server.watches import WatchService
+from brookreach.coordination.state_machine.applied_command import AppliedCommand
 from brookreach.coordination.state_machine.machine import StateMachine
 from brookreach.coordination.timing import Timing
 
--- a/brookreach/coordination/server/proposal_handler.py
+++ b/brookreach/coordination/server/proposal_handler.py
@@ -4,13 +4,13 @@
 
 from collections.abc import Sequence
 
-from brookreach.coordination.ports import AppliedCommand
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.server.errors import InvalidRequestError
 from brookreach.coordination.server.leader_context import LeaderContext
 from brookreach.coordination.server.membership_commands import members_after
 from brookreach.coordination.server.proposals import InFlightProposal
 from brookreach.coordination.state_machine import sessions
+from brookreach.coordination.state_machine.applied_command import AppliedCommand
 
 
 class ProposalHandler:
--- a/brookreach/coordination/server/replies.py
+++ b/brookreach/coordination/server/replies.py
@@ -4,8 +4,6 @@
 
 from brookreach.coordination.protocol import messages
 
-MAX_TEXT_LENGTH = 400  # as messages.Text
-
 
 class ClientReplies:
     """The messages to clients since they were last taken, in order."""
@@ -40,7 +38,9 @@
                 request_number = 0
         self.send(
             client,
-            messages.RequestRejected(request_number, reason, text[:MAX_TEXT_LENGTH], leader, int(retry_after_ms)),
+            messages.RequestRejected(
+                request_number, reason, text[: messages.MAX_TEXT_LENGTH], leader, int(retry_after_ms)
+            ),
         )
 
     def take(self) -> list[tuple[str, messages.Body]]:
--- a/brookreach/coordination/server/session_handler.py
+++ b/brookreach/coordination/server/session_handler.py
@@ -6,11 +6,11 @@
 
 from __future__ import annotations
 
-from brookreach.coordination.ports import AppliedCommand
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.server.leader_context import LeaderContext
 from brookreach.coordination.server.proposals import InFlightProposal
 from brookreach.coordination.state_machine import sessions
+from brookreach.coordination.state_machine.applied_command import AppliedCommand
 
 LEFT = "left"  # the reason of a SessionEnded; replicated, so it never changes
 
--- a/brookreach/coordination/server/watches.py
+++ b/brookreach/coordination/server/watches.py
@@ -10,10 +10,8 @@
 from collections.abc import Collection
 from dataclasses import dataclass
 
-from brookreach.coordination.ports import AppliedCommand
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.server.change_feed import (
-    MAX_WATCHED_TABLES,
     ChangeFeed,
     FeedUpdate,
     TableNames,
@@ -22,13 +20,13 @@
 from brookreach.coordination.server.table_copies import TableCopies
 from brookreach.coordination.server.watcher import Watcher
 from brookreach.coordination.state_machine import sessions
+from brookreach.coordination.state_machine.applied_command import AppliedCommand
 from brookreach.coordination.state_machine.machine import StateMachine
 
 MAX_HISTORY_BYTES = 16 << 20  # of changes kept for all clients
 MAX_MESSAGE_BYTES = messages.MAX_FRAME_BYTES // 2 - (16 << 10)  # of one message's rows
 MAX_UNREPORTED_ENTRIES = 4096  # that change nothing for a client, before it is told the log's index
 MESSAGE_OVERHEAD_BYTES = 64  # of a message beside its rows, about
-MAX_DEFECT_LENGTH = 400  # as messages.Text
 
 
 @dataclass(frozen=True, slots=True)
@@ -127,11 +125,11 @@
 
     def _find_defect(self, names: TableNames) -> str | None:
         known = sorted(set(self._machine.view.types) - sessions.UNWATCHED_TABLES)
-        if not names or len(names) > MAX_WATCHED_TABLES:
-            return f"{len(names)} tables; 1 to {MAX_WATCHED_TABLES} are allowed"
+        if not names or len(names) > messages.MAX_WATCHED_TABLES:
+            return f"{len(names)} tables; 1 to {messages.MAX_WATCHED_TABLES} are allowed"
         unknown = [name for name in names if name not in known]
         if unknown:
-            return f"no table {unknown[0]!r}; there are {', '.join(known)}"[:MAX_DEFECT_LENGTH]
+            return f"no table {unknown[0]!r}; there are {', '.join(known)}"[: messages.MAX_TEXT_LENGTH]
         return None
 
     def remove(self, client: str) -> None:
--- a/brookreach/coordination/state_machine/machine.py
+++ b/brookreach/coordination/state_machine/machine.py
@@ -12,10 +12,11 @@
 import msgspec
 
 from brookreach.coordination.errors import CommandRejectedError, ReplicaHaltedError
-from brookreach.coordination.ports import AppliedCommand, LogRecord
+from brookreach.coordination.protocol.log_record import LogRecord
 from brookreach.coordination.protocol.messages import Entry, RejectionReason, RowChange
 from brookreach.coordination.state_machine import sessions, snapshots
 from brookreach.coordination.state_machine.application import Application, Command, Context, RowUpdate
+from brookreach.coordination.state_machine.applied_command import AppliedCommand
 from brookreach.coordination.state_machine.executor import ApplicationExecutor
 from brookreach.coordination.state_machine.registry import ApplicationRegistry, Rejection
 from brookreach.coordination.state_machine.sessions import (
--- a/brookreach/coordination/state_machine/registry.py
+++ b/brookreach/coordination/state_machine/registry.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from brookreach.coordination.errors import ReplicaHaltedError
-from brookreach.coordination.ports import LogRecord
+from brookreach.coordination.protocol.log_record import LogRecord
 from brookreach.coordination.protocol.messages import MAX_COMMAND_BYTES, MAX_TEXT_LENGTH, RejectionReason
 from brookreach.coordination.state_machine import sessions
 from brookreach.coordination.state_machine.application import Application, Command, Row
--- a/brookreach/coordination/state_machine/sessions.py
+++ b/brookreach/coordination/state_machine/sessions.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from brookreach.coordination.ports import LogRecord
+from brookreach.coordination.protocol.log_record import LogRecord
 from brookreach.coordination.protocol.messages import ClientKind, Count, Name, ProposeRequest, Text
 from brookreach.coordination.state_machine.application import Command, Row
 
--- a/brookreach/simulation/coordination/invariants.py
+++ b/brookreach/simulation/coordination/invariants.py
@@ -11,9 +11,10 @@
 
 import msgspec
 
-from brookreach.coordination.ports import AppliedCommand, LogRecord
 from brookreach.coordination.protocol import messages
+from brookreach.coordination.protocol.log_record import LogRecord
 from brookreach.coordination.state_machine.application import Application, View
+from brookreach.coordination.state_machine.applied_command import AppliedCommand
 from brookreach.simulation.coordination.reference_model import Asked, Caller, Reference, digest, view_digest
 
 Say = Callable[[str, float, str], None]
--- a/brookreach/simulation/coordination/record_invariants.py
+++ b/brookreach/simulation/coordination/record_invariants.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from brookreach.coordination.ports import AppliedCommand
 from brookreach.coordination.state_machine.application import Row
+from brookreach.coordination.state_machine.applied_command import AppliedCommand
 from brookreach.disruption import tables as outages
 from brookreach.simulation.coordination import sample_application
 
--- a/brookreach/simulation/coordination/reference_model.py
+++ b/brookreach/simulation/coordination/reference_model.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from brookreach.coordination.ports import AppliedCommand
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.state_machine.application import Application, View
+from brookreach.coordination.state_machine.applied_command import AppliedCommand
 from brookreach.coordination.state_machine.machine import StateMachine
 from brookreach.coordination.state_machine.sessions import ANSWERS, SESSIONS
 
--- a/brookreach/simulation/mutation/mutators.py
+++ b/brookreach/simulation/mutation/mutators.py
@@ -15,8 +15,8 @@
 import msgspec
 from msgspec import inspect
 
-from brookreach.coordination.ports import LogRecord
 from brookreach.coordination.protocol import messages
+from brookreach.coordination.protocol.log_record import LogRecord
 from brookreach.coordination.state_machine.application import Application
 from brookreach.coordination.state_machine.sessions import APPLICATION, COMMANDS
 from brookreach.simulation.engine.transit import Sent
--- a/tests/carbon_aware/test_application.py
+++ b/tests/carbon_aware/test_application.py
@@ -13,10 +13,11 @@
 from brookreach.carbon_aware import commands, cost_curve, reservations, scheduler, zone_preference
 from brookreach.carbon_aware.application import APPLICATION
 from brookreach.carbon_aware.tables import CURRENT, HOLDS, LOADS, RESERVED, SCHEDULES, SLOT_MS
-from brookreach.coordination.ports import AppliedCommand, LogRecord
+from brookreach.coordination.protocol.log_record import LogRecord
 from brookreach.coordination.protocol.messages import Entry
 from brookreach.coordination.state_machine import sessions
 from brookreach.coordination.state_machine.application import CommandRejectedError, Context, InMemoryView
+from brookreach.coordination.state_machine.applied_command import AppliedCommand
 from brookreach.coordination.state_machine.machine import StateMachine
 from brookreach.simulation.carbon_aware import drill
 from tests.carbon_aware.harness import BEGIN, FREE, HOUR, OPERATOR, agreed, job, said, spans
--- a/tests/coordination/test_machine.py
+++ b/tests/coordination/test_machine.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 
 from brookreach.coordination.errors import ReplicaHaltedError
-from brookreach.coordination.ports import LogRecord
 from brookreach.coordination.protocol import messages
+from brookreach.coordination.protocol.log_record import LogRecord
 from brookreach.coordination.state_machine.sessions import SessionEnded, SessionStarted, TimePassed
 from tests.coordination.machine_harness import Add, Log, Odd, Take
 
--- a/tests/simulation/test_invariants.py
+++ b/tests/simulation/test_invariants.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
-from brookreach.coordination.ports import AppliedCommand
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.state_machine import sessions
 from brookreach.coordination.state_machine.application import InMemoryView, RowUpdate
+from brookreach.coordination.state_machine.applied_command import AppliedCommand
 from brookreach.disruption import tables as outages
 from brookreach.simulation.coordination import sample_application
 from brookreach.simulation.coordination.invariants import Checkers
