--- a/brookreach/carbon_aware/cost_curve.py
+++ b/brookreach/carbon_aware/cost_curve.py
@@ -14,21 +14,28 @@
 
 import msgspec
 
-from brookreach.carbon_aware.tables import CURRENT, SCHEDULES, SLOT_MS, CurrentRow, SpanRow, version_key
+from brookreach.carbon_aware.tables import (
+    ACTIVE_SCHEDULE,
+    SCHEDULE_INTERVALS,
+    SLOT_MS,
+    ActiveScheduleRow,
+    IntensityRow,
+    version_key,
+)
 from brookreach.coordination.state_machine.application import View
 
-MOST_GRAMS = 3000  # a kWh; the dirtiest plants stay under half of it
-MOST_ZONES, MOST_SPANS = 64, 10_000
-MOST_SPAN_MS = 31 * 86_400_000  # one value for longer is no schedule
-MOST_MS = 4_102_444_800_000  # the year 2100
+MAX_GRAMS_PER_KWH = 3000  # a kWh; the dirtiest plants stay under half of it
+MAX_ZONES, MAX_INTERVALS = 64, 10_000
+MAX_INTERVAL_MS = 31 * 86_400_000  # one value for longer is no schedule
+MAX_TIME_MS = 4_102_444_800_000  # the year 2100
 
 Spans = Sequence[tuple[str, int, int, int]]  # zone, from, to, grams
 
 
 @dataclass(frozen=True, slots=True)
-class Curve:
+class CostCurve:
     version: int  # 0: neutral
-    spans: Mapping[str, tuple[SpanRow, ...]]
+    spans: Mapping[str, tuple[IntensityRow, ...]]
     worst: int  # of all spans: what nobody knows must not look clean
 
     def slots(self, zone: str, first: int, count: int) -> list[int]:
@@ -46,49 +53,49 @@
         return [cost + (SLOT_MS - sure) * self.worst for cost, sure in zip(costs, known, strict=True)]
 
 
-NEUTRAL = Curve(0, {}, 0)
+NEUTRAL_CURVE = CostCurve(0, {}, 0)
 
 
-def in_force(view: View, at_ms: int) -> CurrentRow | None:
+def active_schedule(view: View, at_ms: int) -> ActiveScheduleRow | None:
     """The agreed version, while its time lasts."""
-    row: CurrentRow | None = view.get(CURRENT, "all")
+    row: ActiveScheduleRow | None = view.get(ACTIVE_SCHEDULE, "all")
     return row if row is not None and row.from_ms <= at_ms < row.until_ms else None
 
 
-def curve(view: View, at_ms: int) -> Curve:
-    row = in_force(view, at_ms)
+def active_curve(view: View, at_ms: int) -> CostCurve:
+    row = active_schedule(view, at_ms)
     if row is None:
-        return NEUTRAL
-    spans: dict[str, list[SpanRow]] = {}
-    for key, span in view.rows(SCHEDULES, version_key(row.version) + "/"):
+        return NEUTRAL_CURVE
+    spans: dict[str, list[IntensityRow]] = {}
+    for key, span in view.rows(SCHEDULE_INTERVALS, version_key(row.version) + "/"):
         spans.setdefault(key.split("/")[1], []).append(span)
     worst = max((span.grams for some in spans.values() for span in some), default=0)
-    return Curve(row.version, {zone: tuple(some) for zone, some in spans.items()}, worst)
+    return CostCurve(row.version, {zone: tuple(some) for zone, some in spans.items()}, worst)
 
 
-def named(view: View, at_ms: int) -> str:
+def describe_schedule(view: View, at_ms: int) -> str:
     """What stands before a reason: the version gone by, or why there is none."""
-    row: CurrentRow | None = view.get(CURRENT, "all")
+    row: ActiveScheduleRow | None = view.get(ACTIVE_SCHEDULE, "all")
     if row is None:
         return "no schedule"
     if at_ms < row.from_ms:
-        return f"schedule {row.version} begins at {told(row.from_ms)}, all zones alike"
+        return f"schedule {row.version} begins at {format_time(row.from_ms)}, all zones alike"
     if at_ms >= row.until_ms:
         return f"schedule {row.version} {row.reason or 'expired'}, all zones alike"
     return f"schedule {row.version}"
 
 
-def told(ms: int) -> str:
+def format_time(ms: int) -> str:
     return (datetime(1970, 1, 1, tzinfo=UTC) + timedelta(milliseconds=ms)).strftime("%Y-%m-%dT%H:%M:%SZ")
 
 
-def digest(version: int, zones: Sequence[tuple[str, int]], spans: Spans) -> str:
+def schedule_digest(version: int, zones: Sequence[tuple[str, int]], spans: Spans) -> str:
     """Of a whole version, whatever parts and order it came in."""
     whole: Any = [version, sorted(zones), sorted(spans)]
     return hashlib.sha256(msgspec.msgpack.encode(whole)).hexdigest()
 
 
-def flaws(zones: Sequence[str], spans: Spans) -> Iterator[tuple[int, str]]:
+def schedule_errors(zones: Sequence[str], spans: Spans) -> Iterator[tuple[int, str]]:
     """All that no schedule may have, with the span's place among `spans` (-1: the whole).
 
     Each zone's spans come in the order of time, without gap or overlap, and all zones cover the same time:
@@ -102,21 +109,21 @@
             yield nth, f"zone {zone!r} is not known; {', '.join(zones) or 'none'} are allowed"
             continue
         if (zone, from_ms, to_ms, grams) in seen:
-            yield nth, f"the same row stands twice ({told(from_ms)} to {told(to_ms)})"
+            yield nth, f"the same row stands twice ({format_time(from_ms)} to {format_time(to_ms)})"
             continue
         seen[zone, from_ms, to_ms, grams] = nth
-        if not 0 <= grams <= MOST_GRAMS:
-            yield nth, f"{grams} g a kWh; 0 to {MOST_GRAMS} are allowed"
-        if not 0 <= from_ms < to_ms <= MOST_MS or to_ms - from_ms > MOST_SPAN_MS:
-            yield nth, f"from {told(from_ms)} to {told(to_ms)}; over 0 and up to 31 days are allowed"
+        if not 0 <= grams <= MAX_GRAMS_PER_KWH:
+            yield nth, f"{grams} g a kWh; 0 to {MAX_GRAMS_PER_KWH} are allowed"
+        if not 0 <= from_ms < to_ms <= MAX_TIME_MS or to_ms - from_ms > MAX_INTERVAL_MS:
+            yield nth, f"from {format_time(from_ms)} to {format_time(to_ms)}; over 0 and up to 31 days are allowed"
             continue
         begun = last.get(zone)
         if begun is not None and from_ms != begun:
             yield nth, _misfit(zone, spans, nth, begun)
         first.setdefault(zone, from_ms)
         last[zone] = max(to_ms, begun or 0)
-    if len(spans) > MOST_SPANS:
-        yield -1, f"{len(spans)} rows; up to {MOST_SPANS} are allowed"
+    if len(spans) > MAX_INTERVALS:
+        yield -1, f"{len(spans)} rows; up to {MAX_INTERVALS} are allowed"
     for zone in zones:
         if zone not in first:
             yield -1, f"zone {zone!r} has no rows"
@@ -125,8 +132,8 @@
             yield (
                 -1,
                 (
-                    f"zone {zone!r} covers {told(mine[0])} to {told(mine[1])}; all have to cover "
-                    f"{told(whole[0])} to {told(whole[1])}"
+                    f"zone {zone!r} covers {format_time(mine[0])} to {format_time(mine[1])}; all have to cover "
+                    f"{format_time(whole[0])} to {format_time(whole[1])}"
                 ),
             )
 
@@ -134,7 +141,7 @@
 def _misfit(zone: str, spans: Spans, nth: int, begun: int) -> str:
     from_ms, to_ms = spans[nth][1:3]
     if from_ms > begun:
-        return f"gap in zone {zone!r}: {told(begun)} to {told(from_ms)} (UTC) is not covered"
+        return f"gap in zone {zone!r}: {format_time(begun)} to {format_time(from_ms)} (UTC) is not covered"
     if any(one[0] == zone and to_ms <= one[1] for one in spans[:nth]):
-        return f"out of order in zone {zone!r}: {told(from_ms)} comes after later rows"
-    return f"overlap in zone {zone!r}: from {told(from_ms)} (UTC), the row before lasts to {told(begun)}"
+        return f"out of order in zone {zone!r}: {format_time(from_ms)} comes after later rows"
+    return f"overlap in zone {zone!r}: from {format_time(from_ms)} (UTC), the row before lasts to {format_time(begun)}"
--- a/brookreach/carbon_aware/planner.py
+++ b/brookreach/carbon_aware/planner.py
@@ -12,7 +12,7 @@
 
 from brookreach.carbon_aware.tables import SLOT_MS
 
-FAR = 1 << 62
+INFINITE_COST = 1 << 62
 HALVINGS = 12  # of the price of work: to one in 4,096 of the dearest slot
 
 
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Task:
+class PlanningProblem:
     """`costs` by zone and slot, None: not usable. `here`: where it runs, or -1; `bound`: slots to stay."""
 
     costs: Sequence[Sequence[int | None]]
@@ -54,7 +54,7 @@
         for run in runs:
             for cost in self.costs[run.zone][run.first : run.end]:
                 if cost is None:
-                    return FAR
+                    return INFINITE_COST
                 whole += cost
         over = self.capacity(runs) - self.need_ms
         if runs and over > 0:
@@ -62,25 +62,25 @@
         return whole
 
 
-def cheapest(task: Task) -> list[Run] | None:
+def cheapest_plan(task: PlanningProblem) -> list[Run] | None:
     """None: no runs hold the work."""
-    best = stretch(task)
+    best = cheapest_single_run(task)
     low, high = 0, 4 * max((cost for row in task.costs for cost in row if cost is not None), default=0) + 4
-    enough = priced(task, high)
+    enough = cheapest_runs_at_price(task, high)
     if task.capacity(enough) < task.need_ms:
         return best
     for _ in range(HALVINGS):
         middle = (low + high) // 2
-        runs = priced(task, middle)
+        runs = cheapest_runs_at_price(task, middle)
         if task.capacity(runs) >= task.need_ms:
             high, enough = middle, runs
         else:
             low = middle
-    enough = trimmed(task, enough)
+    enough = trim_surplus(task, enough)
     return enough if best is None or task.cost(enough) < task.cost(best) else best
 
 
-def stretch(task: Task) -> list[Run] | None:
+def cheapest_single_run(task: PlanningProblem) -> list[Run] | None:
     """The cheapest single run; of equal ones the earliest, and first where it is."""
     best: tuple[int, int, bool, int, Run] | None = None
     bound = task.here >= 0 and task.bound > 0 and usable(task, task.here, 0) > 0
@@ -102,7 +102,7 @@
     return [best[4]] if best else None
 
 
-def usable(task: Task, zone: int, first: int) -> int:
+def usable(task: PlanningProblem, zone: int, first: int) -> int:
     """How many slots from `first` on the zone can be used without a break."""
     for nth, cost in enumerate(task.costs[zone][first:]):
         if cost is None:
@@ -110,14 +110,14 @@
     return task.slots - first
 
 
-def priced(task: Task, price: int) -> list[Run]:
+def cheapest_runs_at_price(task: PlanningProblem, price: int) -> list[Run]:
     """The runs that are cheapest if a slot of work is worth `price`. Ties: go on, begin early."""
     slots, zones = task.slots, range(len(task.costs))
     sums, free = [_sums(row) for row in task.costs], [_free(row) for row in task.costs]
     again = price * task.start_ms // SLOT_MS
-    idle = [FAR] * (slots + 1)  # cheapest that ran before and stands still at the slot's begin
+    idle = [INFINITE_COST] * (slots + 1)  # cheapest that ran before and stands still at the slot's begin
     idle_by: list[tuple[int, int]] = [(-1, 0)] * (slots + 1)  # the zone that it stopped in, and when
-    runs = [[FAR] * (slots + 1) for _ in zones]  # cheapest that may go on or stop in the zone there
+    runs = [[INFINITE_COST] * (slots + 1) for _ in zones]  # cheapest that may go on or stop in the zone there
     runs_by: list[list[int]] = [[-1] * (slots + 1) for _ in zones]  # where that run began; -1: none
     fresh = task.here < 0
     if not fresh:
@@ -140,11 +140,11 @@
             if free[zone][at] == at:
                 continue
             on = runs[zone][at] + (sums[zone][at + 1] - sums[zone][at]) - price
-            if runs[zone][at] < FAR and on < runs[zone][at + 1]:
+            if runs[zone][at] < INFINITE_COST and on < runs[zone][at + 1]:
                 runs[zone][at + 1], runs_by[zone][at + 1] = on, runs_by[zone][at]
             end = min(at + task.stay, slots)
             begun = base + sums[zone][end] - sums[zone][at] - price * (end - at)
-            if base < FAR and free[zone][at] >= end and begun < runs[zone][end]:
+            if base < INFINITE_COST and free[zone][at] >= end and begun < runs[zone][end]:
                 runs[zone][end], runs_by[zone][end] = begun, at
                 before[zone, at] = stopped
     return _traced(idle, idle_by, runs_by, before, fresh, slots)
@@ -172,7 +172,7 @@
     return runs[::-1]
 
 
-def trimmed(task: Task, runs: list[Run]) -> list[Run]:
+def trim_surplus(task: PlanningProblem, runs: list[Run]) -> list[Run]:
     """Without the dearest slots at ends of runs, while all the work is held and each run lasts its stay."""
     runs = list(runs)
     while task.capacity(runs) - task.need_ms >= SLOT_MS:
--- a/brookreach/carbon_aware/reservations.py
+++ b/brookreach/carbon_aware/reservations.py
@@ -8,38 +8,40 @@
 
 from collections.abc import Iterable, Mapping
 
-from brookreach.carbon_aware.cost_curve import curve, in_force
+from brookreach.carbon_aware.cost_curve import active_curve, active_schedule
 from brookreach.carbon_aware.tables import (
-    HOLDS,
-    LOADS,
-    RESERVED,
+    RESERVATIONS,
     SLOT_MS,
-    HoldRow,
-    LoadRow,
-    ReservedRow,
-    load_key,
-    reserved_key,
+    SLOT_RESERVATIONS,
+    SLOT_TOTALS,
+    ReservationRow,
+    SlotReservationRow,
+    SlotTotalsRow,
+    slot_reservation_key,
+    slot_totals_key,
 )
 from brookreach.coordination.state_machine.application import RowUpdate, StagedChanges, View
 
-Span = tuple[str, int, int]  # zone, first slot, slot after the last
-Sized = tuple[str, int, int, int]  # and the room
+PlannedInterval = tuple[str, int, int]  # zone, first slot, slot after the last
+ReservedInterval = tuple[str, int, int, int]  # and the room
 
 
-def take(view: View, at_ms: int, who: str, room: int, spans: Iterable[Span], session: int = 0) -> list[RowUpdate]:
+def reserve(
+    view: View, at_ms: int, who: str, room: int, spans: Iterable[PlannedInterval], session: int = 0
+) -> list[RowUpdate]:
     """All that `who` has reserved, replaced by this. Session 0: until its slots pass or it is released."""
     sized = tuple((zone, first, end, room) for zone, first, end in spans)
-    held: HoldRow | None = view.get(HOLDS, who)
+    held: ReservationRow | None = view.get(RESERVATIONS, who)
     now = at_ms // SLOT_MS
-    row = in_force(view, at_ms)
+    row = active_schedule(view, at_ms)
     if (
         held is not None
-        and from_slot(held.spans, now) == sized
+        and upcoming_intervals(held.spans, now) == sized
         and held.session == session
         and held.version == (row.version if row else 0)
     ):
         return []  # as it stands: a plan that is kept changes nothing
-    return replace(view, at_ms, who, sized, session, calls=False)
+    return replace_reservation(view, at_ms, who, sized, session, calls=False)
 
 
 def release(view: View, who: str) -> list[RowUpdate]:
@@ -49,62 +51,64 @@
     return draft.updates()
 
 
-def replace(view: View, at_ms: int, who: str, spans: Iterable[Sized], session: int, calls: bool) -> list[RowUpdate]:
+def replace_reservation(
+    view: View, at_ms: int, who: str, spans: Iterable[ReservedInterval], session: int, calls: bool
+) -> list[RowUpdate]:
     """`who` holds exactly these, none of them before the slot of `at_ms`."""
     draft, now = StagedChanges(view), at_ms // SLOT_MS
     _remove(draft, who)
-    kept = from_slot(spans, now)
+    kept = upcoming_intervals(spans, now)
     if kept:
-        known = curve(view, at_ms)
-        draft.put(HOLDS, who, HoldRow(kept, session, calls, known.version))
+        known = active_curve(view, at_ms)
+        draft.put(RESERVATIONS, who, ReservationRow(kept, session, calls, known.version))
         for zone, first, end, room in kept:
             for nth, cost in enumerate(known.slots(zone, first, end - first)):
-                row = ReservedRow(room, session, cost // SLOT_MS)
-                draft.put(RESERVED, reserved_key(zone, first + nth, who), row)
+                row = SlotReservationRow(room, session, cost // SLOT_MS)
+                draft.put(SLOT_RESERVATIONS, slot_reservation_key(zone, first + nth, who), row)
                 _add(draft, zone, first + nth, room, calls)
     return [one for one in draft.updates() if view.get(one.table, one.key) != one.row]
 
 
-def from_slot(spans: Iterable[Sized], slot: int) -> tuple[Sized, ...]:
+def upcoming_intervals(spans: Iterable[ReservedInterval], slot: int) -> tuple[ReservedInterval, ...]:
     """What of them is still to come; the first of all, where it is under way, from `slot` on."""
     return tuple((zone, max(first, slot), end, room) for zone, first, end, room in spans if end > slot)
 
 
-def passed(view: View, slot: int) -> list[RowUpdate]:
+def expire_slots(view: View, slot: int) -> list[RowUpdate]:
     """Slots before this one are over, and with them the holds that end there."""
     draft, done = StagedChanges(view), []
-    for key, _ in view.rows(LOADS):
+    for key, _ in view.rows(SLOT_TOTALS):
         at, _, zone = key.partition("/")
         if int(at) >= slot:
             break
-        draft.put(LOADS, key, None)
-        for reserved, _ in view.rows(RESERVED, f"{zone}/{at}/"):
-            draft.put(RESERVED, reserved, None)
+        draft.put(SLOT_TOTALS, key, None)
+        for reserved, _ in view.rows(SLOT_RESERVATIONS, f"{zone}/{at}/"):
+            draft.put(SLOT_RESERVATIONS, reserved, None)
             done.append(reserved.split("/", 2)[2])
     for who in dict.fromkeys(done):
-        held: HoldRow | None = view.get(HOLDS, who)
-        if held is not None and not from_slot(held.spans, slot):
-            draft.put(HOLDS, who, None)
+        held: ReservationRow | None = view.get(RESERVATIONS, who)
+        if held is not None and not upcoming_intervals(held.spans, slot):
+            draft.put(RESERVATIONS, who, None)
     return draft.updates()
 
 
-def first_slot(view: View) -> int | None:
+def earliest_slot(view: View) -> int | None:
     """The earliest that anything is reserved in."""
-    for key, _ in view.rows(LOADS):
+    for key, _ in view.rows(SLOT_TOTALS):
         return int(key.partition("/")[0])
     return None
 
 
-def others(view: View, who: str, first: int, end: int) -> Mapping[tuple[str, int], int]:
+def capacity_reserved_by_others(view: View, who: str, first: int, end: int) -> Mapping[tuple[str, int], int]:
     """Room of long jobs reserved by everybody but `who`, by zone and slot."""
     loads = {}
-    for key, row in view.rows(LOADS):
+    for key, row in view.rows(SLOT_TOTALS):
         at, _, zone = key.partition("/")
         if int(at) >= end:
             break
         if int(at) >= first and row.room:
             loads[zone, int(at)] = row.room
-    held: HoldRow | None = view.get(HOLDS, who)
+    held: ReservationRow | None = view.get(RESERVATIONS, who)
     if held is not None and not held.calls:
         for zone, begin, stop, room in held.spans:
             for slot in range(max(first, begin), min(end, stop)):
@@ -112,27 +116,29 @@
     return loads
 
 
-def calls_of(view: View, zone: str, slot: int, who: str) -> int:
+def reserved_calls(view: View, zone: str, slot: int, who: str) -> int:
     """What `who` itself may send to the zone in the slot, beyond its usual share."""
-    held: HoldRow | None = view.get(HOLDS, who)
+    held: ReservationRow | None = view.get(RESERVATIONS, who)
     if held is None or not held.calls:
         return 0
     return sum(room for at, first, end, room in held.spans if at == zone and first <= slot < end)
 
 
 def _remove(draft: StagedChanges, who: str) -> None:
-    held: HoldRow | None = draft.get(HOLDS, who)
+    held: ReservationRow | None = draft.get(RESERVATIONS, who)
     if held is None:
         return
-    draft.put(HOLDS, who, None)
+    draft.put(RESERVATIONS, who, None)
     for zone, first, end, room in held.spans:
         for slot in range(first, end):
-            if draft.get(RESERVED, reserved_key(zone, slot, who)) is not None:  # else that slot is over
-                draft.put(RESERVED, reserved_key(zone, slot, who), None)
+            if (
+                draft.get(SLOT_RESERVATIONS, slot_reservation_key(zone, slot, who)) is not None
+            ):  # else that slot is over
+                draft.put(SLOT_RESERVATIONS, slot_reservation_key(zone, slot, who), None)
                 _add(draft, zone, slot, -room, held.calls)
 
 
 def _add(draft: StagedChanges, zone: str, slot: int, room: int, calls: bool) -> None:
-    row: LoadRow = draft.get(LOADS, load_key(slot, zone)) or LoadRow()
-    more = LoadRow(row.room, row.calls + room) if calls else LoadRow(row.room + room, row.calls)
-    draft.put(LOADS, load_key(slot, zone), more if more != LoadRow() else None)
+    row: SlotTotalsRow = draft.get(SLOT_TOTALS, slot_totals_key(slot, zone)) or SlotTotalsRow()
+    more = SlotTotalsRow(row.room, row.calls + room) if calls else SlotTotalsRow(row.room + room, row.calls)
+    draft.put(SLOT_TOTALS, slot_totals_key(slot, zone), more if more != SlotTotalsRow() else None)
--- a/brookreach/carbon_aware/schedule_file.py
+++ b/brookreach/carbon_aware/schedule_file.py
@@ -20,7 +20,14 @@
 import msgspec
 
 from brookreach.carbon_aware.commands import Calls, Number
-from brookreach.carbon_aware.cost_curve import MOST_GRAMS, MOST_MS, MOST_SPANS, MOST_ZONES, digest, flaws
+from brookreach.carbon_aware.cost_curve import (
+    MAX_GRAMS_PER_KWH,
+    MAX_INTERVALS,
+    MAX_TIME_MS,
+    MAX_ZONES,
+    schedule_digest,
+    schedule_errors,
+)
 from brookreach.coordination.protocol.messages import Name
 from brookreach.files import BadFile, checked, read_bounded, read_toml
 
@@ -63,7 +70,7 @@
     """The whole file."""
 
     schedule: SchedulePart
-    zone: Annotated[tuple[ZonePart, ...], msgspec.Meta(min_length=1, max_length=MOST_ZONES)]
+    zone: Annotated[tuple[ZonePart, ...], msgspec.Meta(min_length=1, max_length=MAX_ZONES)]
     row: tuple[RowPart, ...] = ()
 
 
@@ -77,12 +84,12 @@
     digest: str
 
 
-def read(path: Path) -> Schedule:
+def read_schedule(path: Path) -> Schedule:
     """Raises BadFile with all that is wrong in it, or in the files that it names."""
-    return schedule(path, read_toml(path))
+    return parse_schedule(path, read_toml(path))
 
 
-def schedule(path: Path, values: dict[str, Any]) -> Schedule:
+def parse_schedule(path: Path, values: dict[str, Any]) -> Schedule:
     """The values of the file at `path`; raises BadFile."""
     told = checked(path, values, ScheduleFile)
     errors: list[str] = []
@@ -102,14 +109,14 @@
     if not rows and not errors:
         errors.append(f"{path}: no rows; schedule.csv has to name files, or [[row]] to stand here")
     if not errors:  # of rows that are left out because they are wrong no gaps are told
-        found = flaws(names, [row[1:] for row in rows])
+        found = schedule_errors(names, [row[1:] for row in rows])
         errors = [f"{rows[nth][0] if nth >= 0 else path}: {flaw}" for nth, flaw in islice(found, MOST_ERRORS + 1)]
     if errors:
         more = [f"{path}: and more"] if len(errors) > MOST_ERRORS else []
         raise BadFile(errors[:MOST_ERRORS] + more)
     zones = tuple((one.name, one.calls) for one in told.zone)
     spans = tuple(sorted(row[1:] for row in rows))
-    return Schedule(told.schedule.version, zones, spans, digest(told.schedule.version, zones, spans))
+    return Schedule(told.schedule.version, zones, spans, schedule_digest(told.schedule.version, zones, spans))
 
 
 def _from_csv(path: Path, errors: list[str]) -> list[Row]:
@@ -134,7 +141,7 @@
                 _add(rows, where, tuple(word.strip() for word in line), errors)
             elif line:  # an empty line is nothing
                 errors.append(f"{where}: {len(line)} fields; {len(HEADER)} are allowed: {','.join(HEADER)}")
-            if len(errors) > MOST_ERRORS or len(rows) > MOST_SPANS:
+            if len(errors) > MOST_ERRORS or len(rows) > MAX_INTERVALS:
                 break
     except csv.Error as error:
         errors.append(f"{path}:{lines.line_num}: no CSV: {error}")
@@ -144,12 +151,12 @@
 def _add(rows: list[Row], where: str, fields: tuple[Any, ...], errors: list[str]) -> None:
     zone, start, to, amount = fields
     try:
-        rows.append((where, zone, instant(start), instant(to), grams(amount)))
+        rows.append((where, zone, parse_time(start), parse_time(to), parse_intensity(amount)))
     except ValueError as error:
         errors.append(f"{where}: {error}")
 
 
-def instant(told: object) -> int:
+def parse_time(told: object) -> int:
     """Ms since 1970; raises ValueError."""
     time = told
     if isinstance(told, str):
@@ -162,17 +169,17 @@
     if time.utcoffset() is None:
         raise ValueError(f"{told!s} has no offset from UTC; one like {LIKE} is allowed")
     ms, rest = divmod(time - EPOCH, timedelta(milliseconds=1))
-    if rest or not 0 <= ms <= MOST_MS:
+    if rest or not 0 <= ms <= MAX_TIME_MS:
         raise ValueError(f"{told!s}; whole ms from 1970 to 2099 are allowed")
     return ms
 
 
-def grams(told: object) -> int:
+def parse_intensity(told: object) -> int:
     """Whole grams a kWh, halves up; raises ValueError."""
     text = str(told) if isinstance(told, str | int | float) and not isinstance(told, bool) else ""
     if not FIGURE.fullmatch(text):
-        raise ValueError(f"{told!r} is no figure; 0 to {MOST_GRAMS} ({UNIT}) are allowed")
+        raise ValueError(f"{told!r} is no figure; 0 to {MAX_GRAMS_PER_KWH} ({UNIT}) are allowed")
     value = Decimal(text)
-    if not 0 <= value <= MOST_GRAMS:
-        raise ValueError(f"{text}; 0 to {MOST_GRAMS} ({UNIT}) are allowed")
+    if not 0 <= value <= MAX_GRAMS_PER_KWH:
+        raise ValueError(f"{text}; 0 to {MAX_GRAMS_PER_KWH} ({UNIT}) are allowed")
     return int(value.quantize(Decimal(1), ROUND_HALF_UP))
--- a/brookreach/carbon_aware/tables.py
+++ b/brookreach/carbon_aware/tables.py
@@ -8,12 +8,17 @@
 
 from brookreach.coordination.state_machine.application import Row
 
-SCHEDULES, CURRENT, RESERVED = "schedules", "schedule", "reserved"
-DRAFTS, OFFERS, HOLDS, LOADS = "schedule-drafts", "power-offers", "power-holds", "power-loads"
+SCHEDULE_INTERVALS, ACTIVE_SCHEDULE, SLOT_RESERVATIONS = "schedules", "schedule", "reserved"
+SCHEDULE_DRAFTS, ZONE_QUOTAS, RESERVATIONS, SLOT_TOTALS = (
+    "schedule-drafts",
+    "power-offers",
+    "power-holds",
+    "power-loads",
+)
 SLOT_MS = 900_000  # offsets from UTC and tariffs are multiples of it everywhere
 
 
-class SpanRow(Row, frozen=True):
+class IntensityRow(Row, frozen=True):
     """By "version/zone/nth": one zone's intensity from `from_ms` to before `to_ms`."""
 
     from_ms: int
@@ -21,7 +26,7 @@
     grams: int
 
 
-class CurrentRow(Row, frozen=True):
+class ActiveScheduleRow(Row, frozen=True):
     """Stands at key "all": the version that all go by, from this place of the log on."""
 
     version: int
@@ -33,7 +38,7 @@
     reason: str = ""  # why it is no longer in force
 
 
-class DraftRow(Row, frozen=True):
+class ScheduleDraftRow(Row, frozen=True):
     """By version: what has come of one that is being sent. It has no effect on anything."""
 
     digest: str  # of all of it, as promised
@@ -46,13 +51,13 @@
     session: int
 
 
-class OfferRow(Row, frozen=True):
+class ZoneQuotaRow(Row, frozen=True):
     """By zone: flexible calls a second that marshals together may send there beyond its usual share."""
 
     calls: int
 
 
-class ReservedRow(Row, frozen=True):
+class SlotReservationRow(Row, frozen=True):
     """By "zone/slot/who": room that somebody's flexible work takes in a zone for one slot of time."""
 
     room: int
@@ -60,7 +65,7 @@
     grams: int  # as the schedule said when it was reserved
 
 
-class HoldRow(Row, frozen=True):
+class ReservationRow(Row, frozen=True):
     """By who: where in RESERVED its rows are."""
 
     spans: tuple[tuple[str, int, int, int], ...]  # zone, first slot, slot after the last, room
@@ -69,7 +74,7 @@
     version: int  # of the schedule gone by; 0: none was in force
 
 
-class LoadRow(Row, frozen=True):
+class SlotTotalsRow(Row, frozen=True):
     """By "slot/zone": the sums of RESERVED there, so that nobody has to add them up for each decision."""
 
     room: int = 0  # of long jobs
@@ -80,9 +85,9 @@
     return f"{version:010d}"
 
 
-def load_key(slot: int, zone: str) -> str:
+def slot_totals_key(slot: int, zone: str) -> str:
     return f"{slot:010d}/{zone}"
 
 
-def reserved_key(zone: str, slot: int, who: str) -> str:
+def slot_reservation_key(zone: str, slot: int, who: str) -> str:
     return f"{zone}/{slot:010d}/{who}"
--- a/brookreach/cli/files.py
+++ b/brookreach/cli/files.py
@@ -188,7 +188,7 @@
         if "schedule" in values:
             from brookreach.carbon_aware import schedule_file
 
-            return "a power schedule", msgspec.to_builtins(schedule_file.schedule(file, values))
+            return "a power schedule", msgspec.to_builtins(schedule_file.parse_schedule(file, values))
         told = checked(file, values, PlanFile)
         facts_of(file, told)
         return "a plan of a wave", msgspec.to_builtins(told)
--- a/brookreach/cli/fleet.py
+++ b/brookreach/cli/fleet.py
@@ -128,12 +128,12 @@
 @WAIT
 def show(file: Path, as_json: bool, wait: float) -> None:
     """Print what is agreed."""
-    import msgspec
+    from brookreach.cli.rows import fields_by_name
 
     async def look(one: OneShotClient) -> dict[str, Any]:
         view = await one.view()
         tables = {
-            name: {key: msgspec.structs.asdict(row) for key, row in view.rows(name)}
+            name: {key: fields_by_name(row) for key, row in view.rows(name)}
             for name in sorted(one.client.mirror.watched)
         }
         return {
--- a/brookreach/cli/fleet_ask_work.py
+++ b/brookreach/cli/fleet_ask_work.py
@@ -29,9 +29,9 @@
 
 
 def _in_force(view: View) -> str:
-    from brookreach.carbon_aware.tables import CURRENT
+    from brookreach.carbon_aware.tables import ACTIVE_SCHEDULE
 
-    row = view.get(CURRENT, "all")
+    row = view.get(ACTIVE_SCHEDULE, "all")
     if row is None:
         return "no schedule is in force"
     return f"schedule {row.version} " + (f"no longer counts: {row.reason}" if row.reason else "is in force")
@@ -42,11 +42,11 @@
 @click.pass_context
 def schedule(context: click.Context, power: Path) -> None:
     """All go by the schedule of POWER from the place on where its last part is agreed."""
-    from brookreach.carbon_aware.commands import parts
-    from brookreach.carbon_aware.schedule_file import read
+    from brookreach.carbon_aware.commands import upload_commands
+    from brookreach.carbon_aware.schedule_file import read_schedule
 
-    told = said(partial(read, power))
-    sent = list(parts(told.version, told.zones, told.spans))
+    told = said(partial(read_schedule, power))
+    sent = list(upload_commands(told.version, told.zones, told.spans))
     got = answers(*_group(context), "power", sent, _in_force)
     answer, text = got[-1]
     if not answer.ok:
@@ -60,9 +60,9 @@
 @click.pass_context
 def drop_schedule(context: click.Context, version: int) -> None:
     """Take the schedule VERSION back: all zones and times count alike."""
-    from brookreach.carbon_aware.commands import Drop
+    from brookreach.carbon_aware.commands import DropSchedule
 
-    asked(*_group(context), "power", Drop(version), _in_force)
+    asked(*_group(context), "power", DropSchedule(version), _in_force)
 
 
 # --- gangs ---
@@ -116,13 +116,13 @@
 @click.pass_context
 def retire(context: click.Context, node: str, at: str) -> None:
     """NODE is taken away at the time AT, as in 2026-10-25T01:00:00+02:00; `withdraw`: it stays after all."""
-    from brookreach.carbon_aware.schedule_file import instant
+    from brookreach.carbon_aware.schedule_file import parse_time
     from brookreach.disruption.commands import RetirementNotice, RetirementWithdrawn
 
     order: Command = RetirementWithdrawn(node)
     if at != "withdraw":
         try:
-            order = RetirementNotice(node, instant(at))
+            order = RetirementNotice(node, parse_time(at))
         except ValueError as error:
             raise click.ClickException(f"AT: {error}, or 'withdraw'") from None
     asked(*_group(context), "outages", order)
--- a/brookreach/cli/talked.py
+++ b/brookreach/cli/talked.py
@@ -71,7 +71,7 @@
 def tables() -> dict[str, type[Row]]:
     """What operators look at. Not a schedule's rows, which are many and stand in its file."""
     from brookreach.applications import load_applications
-    from brookreach.carbon_aware.tables import CURRENT, OFFERS
+    from brookreach.carbon_aware.tables import ACTIVE_SCHEDULE, ZONE_QUOTAS
     from brookreach.coordination.state_machine import sessions
     from brookreach.disruption.tables import ASSIGNED, BUDGETS, HALT, MARSHALS, NODES, PERMITS, RELEASES
     from brookreach.gang_scheduling.tables import GANGS, MEMBERS, ROOMS
@@ -89,8 +89,8 @@
         GANGS,
         MEMBERS,
         ROOMS,
-        CURRENT,
-        OFFERS,
+        ACTIVE_SCHEDULE,
+        ZONE_QUOTAS,
         sessions.SESSIONS,
     )
     return {name: known[name] for name in names}
--- a/brookreach/gang_scheduling/carbon_placement.py
+++ b/brookreach/gang_scheduling/carbon_placement.py
@@ -10,9 +10,9 @@
 import zlib
 from functools import lru_cache
 
-from brookreach.carbon_aware.reservations import from_slot, release, take
-from brookreach.carbon_aware.scheduler import Flexible, choose
-from brookreach.carbon_aware.tables import CURRENT, HOLDS, SLOT_MS, HoldRow
+from brookreach.carbon_aware.reservations import release, reserve, upcoming_intervals
+from brookreach.carbon_aware.scheduler import FlexibleJob, choose_placement
+from brookreach.carbon_aware.tables import ACTIVE_SCHEDULE, RESERVATIONS, SLOT_MS, ReservationRow
 from brookreach.gang_scheduling import transitions
 from brookreach.gang_scheduling.tables import GANGS, QUEUE, GangRow
 from brookreach.gang_scheduling.transaction import Desk
@@ -47,12 +47,12 @@
     One run of all its work is planned: nothing pauses or moves a running gang for power, so a plan of several
     runs would reserve what never comes.
     """
-    if desk.draft.get(CURRENT, "all") is None:
+    if desk.draft.get(ACTIVE_SCHEDULE, "all") is None:
         return (), desk.now
     if not its_turn(desk, name):
         return as_held(desk, name)
     left = transitions.left_ms(row, desk.now) + row.load_ms + row.cost_ms
-    job = Flexible(
+    job = FlexibleJob(
         who(name),
         row.members * row.room,
         left,
@@ -61,8 +61,8 @@
         row.cost_ms + row.load_ms,
         left,
     )
-    choice = choose(desk.draft, desk.now, job, free_by_zone(desk))
-    desk.draft.take(take(desk.draft, desk.now, job.who, job.room, choice.spans))
+    choice = choose_placement(desk.draft, desk.now, job, free_by_zone(desk))
+    desk.draft.take(reserve(desk.draft, desk.now, job.who, job.room, choice.spans))
     return ((choice.zone,), choice.from_ms) if choice.zone else ((), desk.now)
 
 
@@ -81,8 +81,8 @@
 def as_held(desk: Desk, name: str) -> tuple[tuple[str, ...], int]:
     """By what it has reserved; without, it waits for its turn. Its words stay the same for the slot."""
     slot = desk.now // SLOT_MS
-    held: HoldRow | None = desk.draft.get(HOLDS, who(name))
-    spans = from_slot(held.spans, slot) if held is not None else ()
+    held: ReservationRow | None = desk.draft.get(RESERVATIONS, who(name))
+    spans = upcoming_intervals(held.spans, slot) if held is not None else ()
     if not spans:
         return (), (slot + 1) * SLOT_MS
     zone, first, *_ = spans[0]
