--- a/brookreach/carbon_aware/__init__.py
+++ b/brookreach/carbon_aware/__init__.py
@@ -1,5 +1,6 @@
-"""Cleaner power for work that can wait or go elsewhere, by schedules that operators supply. Sites are zones.
+"""Carbon-aware scheduling: flexible work runs where and when electricity is cleaner, by operators' schedules.
 
-It owns the agreed schedule and the room reserved by it. It must never go against a budget, drain, cap, cold
-budget or halt, nor cost work that is not flexible anything.
+The package owns the replicated schedule of carbon intensity by zone and the capacity that flexible work reserves
+under it. It must never override a disruption budget, drain, cap, cold budget or halt, nor take capacity from work
+that is not flexible. Sites are zones.
 """
--- a/brookreach/carbon_aware/reservations.py
+++ b/brookreach/carbon_aware/reservations.py
@@ -1,14 +1,15 @@
-"""Room that flexible work has reserved, by zone and slot: taken, counted and let go. Pure: gives the puts.
+"""Capacity that flexible work has reserved, by zone and slot. No I/O: functions return the rows to be changed.
 
-It owns RESERVED, HOLDS and LOADS and keeps them in step: a load is the sum of what is reserved there. It must
-never leave a row of somebody whose hold is gone.
+The module owns SLOT_RESERVATIONS, RESERVATIONS and SLOT_TOTALS and keeps them consistent: a total is the sum of
+what is reserved in its slot and zone, and no row stays of a holder whose reservation is gone.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
+from typing import NamedTuple
 
-from brookreach.carbon_aware.cost_curve import active_curve, active_schedule
+from brookreach.carbon_aware.cost_curve import active_curve, active_version
 from brookreach.carbon_aware.tables import (
     RESERVATIONS,
     SLOT_MS,
@@ -22,123 +23,170 @@
 )
 from brookreach.coordination.state_machine.application import RowUpdate, StagedChanges, View
 
-PlannedInterval = tuple[str, int, int]  # zone, first slot, slot after the last
-ReservedInterval = tuple[str, int, int, int]  # and the room
+
+class PlannedInterval(NamedTuple):
+    """Slots `first_slot` to before `end_slot` in a zone."""
+
+    zone: str
+    first_slot: int
+    end_slot: int
+
+
+class ReservedInterval(NamedTuple):
+    """An amount reserved in a zone for the slots `first_slot` to before `end_slot`."""
+
+    zone: str
+    first_slot: int
+    end_slot: int
+    amount: int
 
 
 def reserve(
-    view: View, at_ms: int, who: str, room: int, spans: Iterable[PlannedInterval], session: int = 0
+    view: View, now_ms: int, holder: str, capacity: int, intervals: Iterable[tuple[str, int, int]], session: int = 0
 ) -> list[RowUpdate]:
-    """All that `who` has reserved, replaced by this. Session 0: until its slots pass or it is released."""
-    sized = tuple((zone, first, end, room) for zone, first, end in spans)
-    held: ReservationRow | None = view.get(RESERVATIONS, who)
-    now = at_ms // SLOT_MS
-    row = active_schedule(view, at_ms)
+    """Replaces all capacity that `holder` has reserved for its job.
+
+    Args:
+        view: The replicated state.
+        now_ms: The agreed time.
+        holder: Under which the capacity is reserved.
+        capacity: Of the job, the same in all intervals.
+        intervals: The fields of `PlannedInterval` each.
+        session: With which the reservation ends; 0: it lasts until its slots pass or it is released.
+
+    Returns:
+        The rows to be changed; none where the same is reserved already, so a plan that is kept changes nothing.
+    """
+    requested = tuple(ReservedInterval(*interval, capacity) for interval in intervals)
+    row: ReservationRow | None = view.get(RESERVATIONS, holder)
     if (
-        held is not None
-        and upcoming_intervals(held.spans, now) == sized
-        and held.session == session
-        and held.version == (row.version if row else 0)
+        row is not None
+        and upcoming_intervals(row.intervals, now_ms // SLOT_MS) == requested
+        and row.session == session
+        and row.schedule_version == active_version(view, now_ms)
     ):
-        return []  # as it stands: a plan that is kept changes nothing
-    return replace_reservation(view, at_ms, who, sized, session, calls=False)
+        return []
+    return replace_reservation(view, now_ms, holder, requested, session, is_calls=False)
 
 
-def release(view: View, who: str) -> list[RowUpdate]:
-    """Nothing more is reserved for `who`."""
-    draft = StagedChanges(view)
-    _remove(draft, who)
-    return draft.updates()
+def release(view: View, holder: str) -> list[RowUpdate]:
+    """Removes all that `holder` has reserved."""
+    changes = StagedChanges(view)
+    _remove(changes, holder)
+    return changes.updates()
 
 
 def replace_reservation(
-    view: View, at_ms: int, who: str, spans: Iterable[ReservedInterval], session: int, calls: bool
+    view: View, now_ms: int, holder: str, intervals: Iterable[ReservedInterval], session: int, *, is_calls: bool
 ) -> list[RowUpdate]:
-    """`who` holds exactly these, none of them before the slot of `at_ms`."""
-    draft, now = StagedChanges(view), at_ms // SLOT_MS
-    _remove(draft, who)
-    kept = upcoming_intervals(spans, now)
-    if kept:
-        known = active_curve(view, at_ms)
-        draft.put(RESERVATIONS, who, ReservationRow(kept, session, calls, known.version))
-        for zone, first, end, room in kept:
-            for nth, cost in enumerate(known.slots(zone, first, end - first)):
-                row = SlotReservationRow(room, session, cost // SLOT_MS)
-                draft.put(SLOT_RESERVATIONS, slot_reservation_key(zone, first + nth, who), row)
-                _add(draft, zone, first + nth, room, calls)
-    return [one for one in draft.updates() if view.get(one.table, one.key) != one.row]
-
-
-def upcoming_intervals(spans: Iterable[ReservedInterval], slot: int) -> tuple[ReservedInterval, ...]:
-    """What of them is still to come; the first of all, where it is under way, from `slot` on."""
-    return tuple((zone, max(first, slot), end, room) for zone, first, end, room in spans if end > slot)
+    """Makes `intervals` all that `holder` has reserved, without what lies before the slot of `now_ms`."""
+    changes = StagedChanges(view)
+    _remove(changes, holder)
+    upcoming = upcoming_intervals(intervals, now_ms // SLOT_MS)
+    if upcoming:
+        curve = active_curve(view, now_ms)
+        changes.put(RESERVATIONS, holder, ReservationRow(upcoming, session, is_calls, curve.version))
+        for zone, first_slot, end_slot, amount in upcoming:
+            costs = curve.slot_costs(zone, first_slot, end_slot - first_slot)
+            for slot, cost in enumerate(costs, first_slot):
+                row = SlotReservationRow(amount, session, cost // SLOT_MS)
+                changes.put(SLOT_RESERVATIONS, slot_reservation_key(zone, slot, holder), row)
+                _add_to_total(changes, slot, zone, amount, is_calls=is_calls)
+    return [update for update in changes.updates() if view.get(update.table, update.key) != update.row]
+
+
+def upcoming_intervals(intervals: Iterable[tuple[str, int, int, int]], slot: int) -> tuple[ReservedInterval, ...]:
+    """Returns the intervals that end after `slot` begins; one that is under way begins at `slot`.
+
+    Args:
+        intervals: The fields of `ReservedInterval` each, as rows hold them.
+        slot: The current slot.
+    """
+    return tuple(
+        ReservedInterval(zone, max(first_slot, slot), end_slot, amount)
+        for zone, first_slot, end_slot, amount in intervals
+        if end_slot > slot
+    )
 
 
 def expire_slots(view: View, slot: int) -> list[RowUpdate]:
-    """Slots before this one are over, and with them the holds that end there."""
-    draft, done = StagedChanges(view), []
+    """Removes what is reserved in slots before `slot`, and the reservations that end there."""
+    changes = StagedChanges(view)
+    expired_holders: list[str] = []
     for key, _ in view.rows(SLOT_TOTALS):
-        at, _, zone = key.partition("/")
-        if int(at) >= slot:
+        total_slot, _, zone = key.partition("/")
+        if int(total_slot) >= slot:
             break
-        draft.put(SLOT_TOTALS, key, None)
-        for reserved, _ in view.rows(SLOT_RESERVATIONS, f"{zone}/{at}/"):
-            draft.put(SLOT_RESERVATIONS, reserved, None)
-            done.append(reserved.split("/", 2)[2])
-    for who in dict.fromkeys(done):
-        held: ReservationRow | None = view.get(RESERVATIONS, who)
-        if held is not None and not upcoming_intervals(held.spans, slot):
-            draft.put(RESERVATIONS, who, None)
-    return draft.updates()
+        changes.put(SLOT_TOTALS, key, None)
+        for reservation_key, _ in view.rows(SLOT_RESERVATIONS, f"{zone}/{total_slot}/"):
+            changes.put(SLOT_RESERVATIONS, reservation_key, None)
+            expired_holders.append(reservation_key.split("/", 2)[2])
+    for holder in dict.fromkeys(expired_holders):
+        row: ReservationRow | None = view.get(RESERVATIONS, holder)
+        if row is not None and not upcoming_intervals(row.intervals, slot):
+            changes.put(RESERVATIONS, holder, None)
+    return changes.updates()
 
 
 def earliest_slot(view: View) -> int | None:
-    """The earliest that anything is reserved in."""
+    """Returns the first slot in which anything is reserved."""
     for key, _ in view.rows(SLOT_TOTALS):
         return int(key.partition("/")[0])
     return None
 
 
-def capacity_reserved_by_others(view: View, who: str, first: int, end: int) -> Mapping[tuple[str, int], int]:
-    """Room of long jobs reserved by everybody but `who`, by zone and slot."""
-    loads = {}
+def capacity_reserved_by_others(
+    view: View, holder: str, first_slot: int, end_slot: int
+) -> Mapping[tuple[str, int], int]:
+    """Returns the capacity that jobs of everybody but `holder` have reserved, by zone and slot."""
+    reserved: dict[tuple[str, int], int] = {}
     for key, row in view.rows(SLOT_TOTALS):
-        at, _, zone = key.partition("/")
-        if int(at) >= end:
+        slot_text, _, zone = key.partition("/")
+        slot = int(slot_text)
+        if slot >= end_slot:
             break
-        if int(at) >= first and row.room:
-            loads[zone, int(at)] = row.room
-    held: ReservationRow | None = view.get(RESERVATIONS, who)
-    if held is not None and not held.calls:
-        for zone, begin, stop, room in held.spans:
-            for slot in range(max(first, begin), min(end, stop)):
-                loads[zone, slot] -= room
-    return loads
-
-
-def reserved_calls(view: View, zone: str, slot: int, who: str) -> int:
-    """What `who` itself may send to the zone in the slot, beyond its usual share."""
-    held: ReservationRow | None = view.get(RESERVATIONS, who)
-    if held is None or not held.calls:
+        if slot >= first_slot and row.capacity:
+            reserved[zone, slot] = row.capacity
+    own: ReservationRow | None = view.get(RESERVATIONS, holder)
+    if own is not None and not own.is_calls:
+        for zone, own_first, own_end, amount in own.intervals:
+            for slot in range(max(first_slot, own_first), min(end_slot, own_end)):
+                reserved[zone, slot] -= amount
+    return reserved
+
+
+def reserved_calls(view: View, zone: str, slot: int, holder: str) -> int:
+    """Returns the calls a second that `holder` may send to the zone in the slot beyond its usual share."""
+    row: ReservationRow | None = view.get(RESERVATIONS, holder)
+    if row is None or not row.is_calls:
         return 0
-    return sum(room for at, first, end, room in held.spans if at == zone and first <= slot < end)
+    intervals = (ReservedInterval(*fields) for fields in row.intervals)
+    return sum(
+        interval.amount
+        for interval in intervals
+        if interval.zone == zone and interval.first_slot <= slot < interval.end_slot
+    )
 
 
-def _remove(draft: StagedChanges, who: str) -> None:
-    held: ReservationRow | None = draft.get(RESERVATIONS, who)
-    if held is None:
+def _remove(changes: StagedChanges, holder: str) -> None:
+    row: ReservationRow | None = changes.get(RESERVATIONS, holder)
+    if row is None:
         return
-    draft.put(RESERVATIONS, who, None)
-    for zone, first, end, room in held.spans:
-        for slot in range(first, end):
-            if (
-                draft.get(SLOT_RESERVATIONS, slot_reservation_key(zone, slot, who)) is not None
-            ):  # else that slot is over
-                draft.put(SLOT_RESERVATIONS, slot_reservation_key(zone, slot, who), None)
-                _add(draft, zone, slot, -room, held.calls)
-
-
-def _add(draft: StagedChanges, zone: str, slot: int, room: int, calls: bool) -> None:
-    row: SlotTotalsRow = draft.get(SLOT_TOTALS, slot_totals_key(slot, zone)) or SlotTotalsRow()
-    more = SlotTotalsRow(row.room, row.calls + room) if calls else SlotTotalsRow(row.room + room, row.calls)
-    draft.put(SLOT_TOTALS, slot_totals_key(slot, zone), more if more != SlotTotalsRow() else None)
+    changes.put(RESERVATIONS, holder, None)
+    for zone, first_slot, end_slot, amount in row.intervals:
+        for slot in range(first_slot, end_slot):
+            key = slot_reservation_key(zone, slot, holder)
+            if changes.get(SLOT_RESERVATIONS, key) is None:
+                continue  # that slot has passed
+            changes.put(SLOT_RESERVATIONS, key, None)
+            _add_to_total(changes, slot, zone, -amount, is_calls=row.is_calls)
+
+
+def _add_to_total(changes: StagedChanges, slot: int, zone: str, amount: int, *, is_calls: bool) -> None:
+    key = slot_totals_key(slot, zone)
+    row: SlotTotalsRow = changes.get(SLOT_TOTALS, key) or SlotTotalsRow()
+    if is_calls:
+        total = SlotTotalsRow(row.capacity, row.calls_per_s + amount)
+    else:
+        total = SlotTotalsRow(row.capacity + amount, row.calls_per_s)
+    changes.put(SLOT_TOTALS, key, total if total != SlotTotalsRow() else None)
--- a/brookreach/carbon_aware/schedule_file.py
+++ b/brookreach/carbon_aware/schedule_file.py
@@ -1,8 +1,8 @@
-"""Operators' schedules: a TOML file that names CSV files or holds rows, checked as a whole.
+"""Operators' schedule files: TOML that names CSV files or holds rows, checked as a whole.
 
-It owns the file's form and every check that needs only the file. Times need an offset from UTC: local time
-alone is refused, since one hour a year comes twice in it and one not at all. Every error names the file, the
-line or key, what stands there and what is allowed; a file with any error gives nothing.
+The module owns the file's form and every check that needs only the file. Times need an offset from UTC: local time
+alone is rejected, since one hour a year occurs twice in it and one not at all. Every error names the file, the line
+or key, what stands there and what is allowed; a file with any error gives nothing.
 """
 
 from __future__ import annotations
@@ -10,8 +10,9 @@
 import csv
 import io
 import re
+from collections.abc import Sequence
 from dataclasses import dataclass
-from datetime import UTC, datetime, timedelta
+from datetime import datetime, timedelta
 from decimal import ROUND_HALF_UP, Decimal
 from itertools import islice
 from pathlib import Path
@@ -19,167 +20,200 @@
 
 import msgspec
 
-from brookreach.carbon_aware.commands import Calls, Number
-from brookreach.carbon_aware.cost_curve import (
+from brookreach.carbon_aware.commands import CallsPerSecond, ScheduleVersion
+from brookreach.carbon_aware.errors import InvalidIntensityError, InvalidTimeError
+from brookreach.carbon_aware.schedule import (
+    EPOCH,
     MAX_GRAMS_PER_KWH,
     MAX_INTERVALS,
     MAX_TIME_MS,
     MAX_ZONES,
+    IntensityInterval,
+    ZoneQuota,
+    find_problems,
     schedule_digest,
-    schedule_errors,
 )
 from brookreach.coordination.protocol.messages import Name
 from brookreach.files import BadFile, checked, read_bounded, read_toml
 
 UNIT = "gCO2e/kWh"
-HEADER = ["zone", "from", "to", UNIT]
-LIKE = "2026-10-25T01:00:00+02:00"
-MOST_CSV = 4 << 20  # bytes
-MOST_ERRORS = 50  # told of one file
-EPOCH = datetime(1970, 1, 1, tzinfo=UTC)
-FIGURE = re.compile(r"-?[0-9]{1,9}(\.[0-9]{1,9})?")
+CSV_HEADER = ["zone", "from", "to", UNIT]
+TIME_EXAMPLE = "2026-10-25T01:00:00+02:00"
+MAX_CSV_BYTES = 4 << 20
+MAX_ERRORS = 50  # that are reported of one file
+NUMBER_PATTERN = re.compile(r"-?[0-9]{1,9}(\.[0-9]{1,9})?")
 
-Row = tuple[str, str, int, int, int]  # where it stands; zone, from, to, grams
 
-
-class SchedulePart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ScheduleSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """[schedule]: each version's number is greater than the one before."""
 
-    version: Number
-    unit: str  # named, so that nobody sends pounds or grams a MJ
-    csv: tuple[str, ...] = ()  # beside this file
+    version: ScheduleVersion
+    unit: str  # named, so that nobody sends pounds, or grams a MJ
+    csv: tuple[str, ...] = ()  # paths beside this file
 
 
-class ZonePart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """[[zone]]: as nodes name it, and the flexible calls a second that may come beyond its usual share."""
+class ZoneSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """[[zone]]: as nodes name it, and the flexible calls a second that it accepts beyond its usual share."""
 
     name: Name
-    calls: Calls = 0
+    calls_per_s: CallsPerSecond = msgspec.field(name="calls", default=0)
 
 
-class RowPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """[[row]]: one span of time in a zone."""
+class RowSection(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """[[row]]: the intensity of a zone for a time. `Any`: TOML's values, parsed with errors of our own."""
 
     zone: str
-    start: Any = msgspec.field(name="from")
-    to: Any
+    from_time: Any = msgspec.field(name="from")
+    to_time: Any = msgspec.field(name="to")
     grams: Any
 
 
 class ScheduleFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The whole file."""
 
-    schedule: SchedulePart
-    zone: Annotated[tuple[ZonePart, ...], msgspec.Meta(min_length=1, max_length=MAX_ZONES)]
-    row: tuple[RowPart, ...] = ()
+    schedule: ScheduleSection
+    zones: Annotated[tuple[ZoneSection, ...], msgspec.Meta(min_length=1, max_length=MAX_ZONES)] = msgspec.field(
+        name="zone"
+    )
+    rows: tuple[RowSection, ...] = msgspec.field(name="row", default=())
 
 
-@dataclass(frozen=True)
-class Schedule:
-    """What `orders.parts` sends. Spans are sorted by zone and time."""
+class Schedule(msgspec.Struct, frozen=True):
+    """A checked schedule. Intervals are sorted by zone and time. `check --show` prints the encoded names."""
 
     version: int
-    zones: tuple[tuple[str, int], ...]
-    spans: tuple[tuple[str, int, int, int], ...]
+    zones: tuple[ZoneQuota, ...]
+    intervals: tuple[IntensityInterval, ...] = msgspec.field(name="spans")
     digest: str
 
 
+@dataclass(frozen=True)
+class _LocatedInterval:
+    """An interval and where it stands: the file, with the line or the key."""
+
+    location: str
+    interval: IntensityInterval
+
+
 def read_schedule(path: Path) -> Schedule:
-    """Raises BadFile with all that is wrong in it, or in the files that it names."""
+    """Reads a schedule and the CSV files that it names; raises BadFile with all that is wrong in them."""
     return parse_schedule(path, read_toml(path))
 
 
 def parse_schedule(path: Path, values: dict[str, Any]) -> Schedule:
-    """The values of the file at `path`; raises BadFile."""
-    told = checked(path, values, ScheduleFile)
-    errors: list[str] = []
-    if told.schedule.unit != UNIT:
-        errors.append(f"{path}: schedule.unit: {told.schedule.unit!r}; {UNIT!r} is allowed")
-    names = [one.name for one in told.zone]
-    errors += [
-        f"{path}: zone[{nth}].name: {name!r} stands twice; each zone may stand once"
-        for nth, name in enumerate(names)
-        if names.index(name) != nth
-    ]
-    rows: list[Row] = []
-    for name in told.schedule.csv:
-        rows += _from_csv(path.parent / name, errors)
-    for nth, one in enumerate(told.row):
-        _add(rows, f"{path}: row[{nth}]", (one.zone, one.start, one.to, one.grams), errors)
-    if not rows and not errors:
-        errors.append(f"{path}: no rows; schedule.csv has to name files, or [[row]] to stand here")
-    if not errors:  # of rows that are left out because they are wrong no gaps are told
-        found = schedule_errors(names, [row[1:] for row in rows])
-        errors = [f"{rows[nth][0] if nth >= 0 else path}: {flaw}" for nth, flaw in islice(found, MOST_ERRORS + 1)]
+    """Returns the schedule of the file at `path`, whose TOML holds `values`; raises BadFile."""
+    file = checked(path, values, ScheduleFile)
+    rows = _RowCollector()
+    _check_sections(path, file, rows.errors)
+    for name in file.schedule.csv:
+        _collect_csv(path.parent / name, rows)
+    for index, row in enumerate(file.rows):
+        rows.add(f"{path}: row[{index}]", [row.zone, row.from_time, row.to_time, row.grams])
+    if not rows.rows and not rows.errors:
+        rows.errors.append(f"{path}: no rows; schedule.csv has to name files, or [[row]] to stand here")
+    errors = rows.errors or _problems(path, file, rows.rows)  # of rows that are invalid no gaps are reported
     if errors:
-        more = [f"{path}: and more"] if len(errors) > MOST_ERRORS else []
-        raise BadFile(errors[:MOST_ERRORS] + more)
-    zones = tuple((one.name, one.calls) for one in told.zone)
-    spans = tuple(sorted(row[1:] for row in rows))
-    return Schedule(told.schedule.version, zones, spans, schedule_digest(told.schedule.version, zones, spans))
+        more = [f"{path}: and more"] if len(errors) > MAX_ERRORS else []
+        raise BadFile(errors[:MAX_ERRORS] + more)
+    version = file.schedule.version
+    zones = tuple(ZoneQuota(zone.name, zone.calls_per_s) for zone in file.zones)
+    intervals = tuple(sorted(row.interval for row in rows.rows))
+    return Schedule(version, zones, intervals, schedule_digest(version, zones, intervals))
+
+
+def _check_sections(path: Path, file: ScheduleFile, errors: list[str]) -> None:
+    if file.schedule.unit != UNIT:
+        errors.append(f"{path}: schedule.unit: {file.schedule.unit!r}; {UNIT!r} is allowed")
+    names = [zone.name for zone in file.zones]
+    for index, name in enumerate(names):
+        if names.index(name) != index:
+            errors.append(f"{path}: zone[{index}].name: {name!r} stands twice; each zone may stand once")
+
+
+def _problems(path: Path, file: ScheduleFile, rows: Sequence[_LocatedInterval]) -> list[str]:
+    """Returns what is wrong with the schedule as a whole, up to one more than are reported."""
+    zones = [zone.name for zone in file.zones]
+    problems = find_problems(zones, [row.interval for row in rows])
+    return [
+        f"{path if problem.interval_index is None else rows[problem.interval_index].location}: {problem.text}"
+        for problem in islice(problems, MAX_ERRORS + 1)
+    ]
+
 
+class _RowCollector:
+    """Valid rows so far, and the errors of all others."""
 
-def _from_csv(path: Path, errors: list[str]) -> list[Row]:
-    rows: list[Row] = []
+    def __init__(self) -> None:
+        self.rows: list[_LocatedInterval] = []
+        self.errors: list[str] = []
+
+    def add(self, location: str, fields: Sequence[Any]) -> None:
+        """Parses the zone, the two times and the intensity of a row."""
+        zone, from_time, to_time, grams = fields
+        try:
+            interval = IntensityInterval(zone, parse_time(from_time), parse_time(to_time), parse_intensity(grams))
+        except (InvalidTimeError, InvalidIntensityError) as error:
+            self.errors.append(f"{location}: {error}")
+        else:
+            self.rows.append(_LocatedInterval(location, interval))
+
+
+def _collect_csv(path: Path, rows: _RowCollector) -> None:
     try:
-        text = read_bounded(path, MOST_CSV).decode("utf-8-sig")
+        text = read_bounded(path, MAX_CSV_BYTES).decode("utf-8-sig")
     except BadFile as error:
-        errors += error.errors
-        return rows
+        rows.errors += error.errors
+        return
     except UnicodeDecodeError as error:
-        errors.append(f"{path}: byte {error.start} is no UTF-8; text in UTF-8 is allowed")
-        return rows
-    lines = csv.reader(io.StringIO(text, newline=""), strict=True)
+        rows.errors.append(f"{path}: byte {error.start} is no UTF-8; text in UTF-8 is allowed")
+        return
+    reader = csv.reader(io.StringIO(text, newline=""), strict=True)
+    first_row = len(rows.rows)
     try:
-        header = [word.strip() for word in next(lines, [])]
-        if header != HEADER:
-            errors.append(f"{path}:1: {','.join(header)!r}; the header {','.join(HEADER)!r} is allowed")
-            return rows
-        for line in lines:
-            where = f"{path}:{lines.line_num}"
-            if len(line) == len(HEADER):
-                _add(rows, where, tuple(word.strip() for word in line), errors)
-            elif line:  # an empty line is nothing
-                errors.append(f"{where}: {len(line)} fields; {len(HEADER)} are allowed: {','.join(HEADER)}")
-            if len(errors) > MOST_ERRORS or len(rows) > MAX_INTERVALS:
+        header = [field.strip() for field in next(reader, [])]
+        if header != CSV_HEADER:
+            rows.errors.append(f"{path}:1: {','.join(header)!r}; the header {','.join(CSV_HEADER)!r} is allowed")
+            return
+        for fields in reader:
+            _collect_csv_row(f"{path}:{reader.line_num}", fields, rows)
+            if len(rows.errors) > MAX_ERRORS or len(rows.rows) - first_row > MAX_INTERVALS:
                 break
     except csv.Error as error:
-        errors.append(f"{path}:{lines.line_num}: no CSV: {error}")
-    return rows
+        rows.errors.append(f"{path}:{reader.line_num}: no CSV: {error}")
 
 
-def _add(rows: list[Row], where: str, fields: tuple[Any, ...], errors: list[str]) -> None:
-    zone, start, to, amount = fields
-    try:
-        rows.append((where, zone, parse_time(start), parse_time(to), parse_intensity(amount)))
-    except ValueError as error:
-        errors.append(f"{where}: {error}")
+def _collect_csv_row(location: str, fields: list[str], rows: _RowCollector) -> None:
+    if len(fields) == len(CSV_HEADER):
+        rows.add(location, [field.strip() for field in fields])
+    elif fields:  # an empty line is skipped
+        rows.errors.append(f"{location}: {len(fields)} fields; {len(CSV_HEADER)} are allowed: {','.join(CSV_HEADER)}")
 
 
-def parse_time(told: object) -> int:
-    """Ms since 1970; raises ValueError."""
-    time = told
-    if isinstance(told, str):
+def parse_time(value: object) -> int:
+    """Returns a time with an offset from UTC as ms since 1970; raises InvalidTimeError."""
+    time = value
+    if isinstance(value, str):
         try:
-            time = datetime.fromisoformat(told)
+            time = datetime.fromisoformat(value)
         except ValueError:
-            raise ValueError(f"{told!r} is no time; one like {LIKE} is allowed") from None
+            raise InvalidTimeError(f"{value!r} is no time; one like {TIME_EXAMPLE} is allowed") from None
     if not isinstance(time, datetime):
-        raise ValueError(f"{told!s} is no time; one like {LIKE} is allowed")
+        raise InvalidTimeError(f"{value!s} is no time; one like {TIME_EXAMPLE} is allowed")
     if time.utcoffset() is None:
-        raise ValueError(f"{told!s} has no offset from UTC; one like {LIKE} is allowed")
-    ms, rest = divmod(time - EPOCH, timedelta(milliseconds=1))
-    if rest or not 0 <= ms <= MAX_TIME_MS:
-        raise ValueError(f"{told!s}; whole ms from 1970 to 2099 are allowed")
-    return ms
-
-
-def parse_intensity(told: object) -> int:
-    """Whole grams a kWh, halves up; raises ValueError."""
-    text = str(told) if isinstance(told, str | int | float) and not isinstance(told, bool) else ""
-    if not FIGURE.fullmatch(text):
-        raise ValueError(f"{told!r} is no figure; 0 to {MAX_GRAMS_PER_KWH} ({UNIT}) are allowed")
-    value = Decimal(text)
-    if not 0 <= value <= MAX_GRAMS_PER_KWH:
-        raise ValueError(f"{text}; 0 to {MAX_GRAMS_PER_KWH} ({UNIT}) are allowed")
-    return int(value.quantize(Decimal(1), ROUND_HALF_UP))
+        raise InvalidTimeError(f"{value!s} has no offset from UTC; one like {TIME_EXAMPLE} is allowed")
+    time_ms, rest = divmod(time - EPOCH, timedelta(milliseconds=1))
+    if rest or not 0 <= time_ms <= MAX_TIME_MS:
+        raise InvalidTimeError(f"{value!s}; whole ms from 1970 to 2099 are allowed")
+    return time_ms
+
+
+def parse_intensity(value: object) -> int:
+    """Returns whole grams a kWh, halves rounded up; raises InvalidIntensityError."""
+    is_number = isinstance(value, str | int | float) and not isinstance(value, bool)
+    text = str(value) if is_number else ""
+    if not NUMBER_PATTERN.fullmatch(text):
+        raise InvalidIntensityError(f"{value!r} is no figure; 0 to {MAX_GRAMS_PER_KWH} ({UNIT}) are allowed")
+    number = Decimal(text)
+    if not 0 <= number <= MAX_GRAMS_PER_KWH:
+        raise InvalidIntensityError(f"{text}; 0 to {MAX_GRAMS_PER_KWH} ({UNIT}) are allowed")
+    return int(number.quantize(Decimal(1), ROUND_HALF_UP))
--- a/brookreach/carbon_aware/tables.py
+++ b/brookreach/carbon_aware/tables.py
@@ -1,25 +1,32 @@
-"""The tables of power. Times are ms since 1970 (UTC), intensity whole grams of CO2e a kWh.
+"""Tables of the replicated state that carbon-aware scheduling owns, and their keys.
 
-Time is cut into slots of `SLOT_MS`, counted since 1970: all is decided and reserved by whole slots, so two
-who ask within one slot decide alike whatever their clocks say in it.
+Times are ms since 1970 (UTC), carbon intensities whole grams of CO2e a kWh. Time is cut into slots of `SLOT_MS`,
+numbered from 1970. Decisions and reservations are made in whole slots, so two processes whose clocks differ but
+lie in one slot decide alike.
+
+Rows are stored by position. Rows that `fleet show --json` prints keep their keys by `msgspec.field(name=...)`.
 """
 
 from __future__ import annotations
 
+import msgspec
+
 from brookreach.coordination.state_machine.application import Row
 
-SCHEDULE_INTERVALS, ACTIVE_SCHEDULE, SLOT_RESERVATIONS = "schedules", "schedule", "reserved"
-SCHEDULE_DRAFTS, ZONE_QUOTAS, RESERVATIONS, SLOT_TOTALS = (
-    "schedule-drafts",
-    "power-offers",
-    "power-holds",
-    "power-loads",
-)
-SLOT_MS = 900_000  # offsets from UTC and tariffs are multiples of it everywhere
+SCHEDULE_INTERVALS = "schedules"
+ACTIVE_SCHEDULE = "schedule"
+SCHEDULE_DRAFTS = "schedule-drafts"
+ZONE_QUOTAS = "power-offers"
+SLOT_RESERVATIONS = "reserved"
+RESERVATIONS = "power-holds"
+SLOT_TOTALS = "power-loads"
+
+ACTIVE_KEY = "all"  # of the only row of ACTIVE_SCHEDULE
+SLOT_MS = 900_000  # offsets from UTC and tariffs are multiples of a quarter of an hour everywhere
 
 
 class IntensityRow(Row, frozen=True):
-    """By "version/zone/nth": one zone's intensity from `from_ms` to before `to_ms`."""
+    """The carbon intensity of a zone from `from_ms` to before `to_ms`. Key: "version/zone/index"."""
 
     from_ms: int
     to_ms: int
@@ -27,67 +34,70 @@
 
 
 class ActiveScheduleRow(Row, frozen=True):
-    """Stands at key "all": the version that all go by, from this place of the log on."""
+    """The committed schedule that every process uses from one log index on. Key: `ACTIVE_KEY`."""
 
     version: int
     digest: str
-    until_ms: int  # after it all zones count alike
-    fence: int
-    by: str
-    from_ms: int = 0  # before it too
-    reason: str = ""  # why it is no longer in force
+    until_ms: int  # from then on all zones count alike
+    fencing_token: int = msgspec.field(name="fence")
+    operator: str = msgspec.field(name="by")
+    from_ms: int = 0  # before it all zones count alike, too
+    end_reason: str = msgspec.field(name="reason", default="")  # why it is no longer in force; "": it may be
 
 
 class ScheduleDraftRow(Row, frozen=True):
-    """By version: what has come of one that is being sent. It has no effect on anything."""
+    """What has arrived of a schedule that is being uploaded. No decision reads it. Key: the version."""
 
-    digest: str  # of all of it, as promised
-    zones: tuple[tuple[str, int], ...]  # and the flexible calls a second that each may have beyond its usual
+    digest: str  # of the complete schedule, as announced
+    zones: tuple[tuple[str, int], ...]  # and the flexible calls a second that each accepts beyond its usual share
     from_ms: int
     until_ms: int
-    parts: int  # got so far
-    spans: int
-    by: str
+    parts_received: int
+    intervals_received: int
+    operator: str
     session: int
 
 
 class ZoneQuotaRow(Row, frozen=True):
-    """By zone: flexible calls a second that marshals together may send there beyond its usual share."""
+    """Flexible calls a second that all marshals together may send to a zone beyond its usual share. Key: the zone."""
 
-    calls: int
+    calls_per_s: int = msgspec.field(name="calls")
 
 
 class SlotReservationRow(Row, frozen=True):
-    """By "zone/slot/who": room that somebody's flexible work takes in a zone for one slot of time."""
+    """What one holder has reserved in a zone for one slot. Key: "zone/slot/holder"."""
 
-    room: int
+    amount: int  # capacity of a job, or calls a second
     session: int
-    grams: int  # as the schedule said when it was reserved
+    grams: int  # a kWh, as the schedule said when it was reserved
 
 
 class ReservationRow(Row, frozen=True):
-    """By who: where in RESERVED its rows are."""
+    """Where the rows of a holder in SLOT_RESERVATIONS stand. Key: the holder."""
 
-    spans: tuple[tuple[str, int, int, int], ...]  # zone, first slot, slot after the last, room
-    session: int  # with which it ends; 0: none
-    calls: bool  # the room is calls a second, not room for long jobs
-    version: int  # of the schedule gone by; 0: none was in force
+    intervals: tuple[tuple[str, int, int, int], ...]  # the fields of `reservations.ReservedInterval`
+    session: int  # with which the reservation ends; 0: with none
+    is_calls: bool  # the amounts are calls a second, not capacity of jobs
+    schedule_version: int  # that it was made under; 0: none was in force
 
 
 class SlotTotalsRow(Row, frozen=True):
-    """By "slot/zone": the sums of RESERVED there, so that nobody has to add them up for each decision."""
+    """Sums of SLOT_RESERVATIONS in a slot and zone, so that no decision adds them up. Key: "slot/zone"."""
 
-    room: int = 0  # of long jobs
-    calls: int = 0
+    capacity: int = 0  # of jobs
+    calls_per_s: int = 0
 
 
 def version_key(version: int) -> str:
+    """Returns the key of a schedule version, which sorts by the number."""
     return f"{version:010d}"
 
 
 def slot_totals_key(slot: int, zone: str) -> str:
+    """Returns the key of a row of SLOT_TOTALS, which sorts by the slot."""
     return f"{slot:010d}/{zone}"
 
 
-def slot_reservation_key(zone: str, slot: int, who: str) -> str:
-    return f"{zone}/{slot:010d}/{who}"
+def slot_reservation_key(zone: str, slot: int, holder: str) -> str:
+    """Returns the key of a row of SLOT_RESERVATIONS."""
+    return f"{zone}/{slot:010d}/{holder}"
--- a/brookreach/cli/fleet_ask_work.py
+++ b/brookreach/cli/fleet_ask_work.py
@@ -34,7 +34,7 @@
     row = view.get(ACTIVE_SCHEDULE, "all")
     if row is None:
         return "no schedule is in force"
-    return f"schedule {row.version} " + (f"no longer counts: {row.reason}" if row.reason else "is in force")
+    return f"schedule {row.version} " + (f"no longer counts: {row.end_reason}" if row.end_reason else "is in force")
 
 
 @click.command()
@@ -46,13 +46,13 @@
     from brookreach.carbon_aware.schedule_file import read_schedule
 
     told = said(partial(read_schedule, power))
-    sent = list(upload_commands(told.version, told.zones, told.spans))
+    sent = list(upload_commands(told.version, told.zones, told.intervals))
     got = answers(*_group(context), "power", sent, _in_force)
     answer, text = got[-1]
     if not answer.ok:
         raise click.ClickException(f"refused at part {len(got)} of {len(sent)}: {answer.text}; {text}")
     now = f"schedule {told.version} is in force"  # as its last part's agreement says, wherever the mirror is
-    click.echo(f"agreed at place {answer.index}: {now}, {len(told.spans)} rows in {len(sent)} records")
+    click.echo(f"agreed at place {answer.index}: {now}, {len(told.intervals)} rows in {len(sent)} records")
 
 
 @click.command("drop-schedule")
--- a/brookreach/gang_scheduling/carbon_placement.py
+++ b/brookreach/gang_scheduling/carbon_placement.py
@@ -10,8 +10,9 @@
 import zlib
 from functools import lru_cache
 
+from brookreach.carbon_aware.placement import FlexibleJob
 from brookreach.carbon_aware.reservations import release, reserve, upcoming_intervals
-from brookreach.carbon_aware.scheduler import FlexibleJob, choose_placement
+from brookreach.carbon_aware.scheduler import choose_placement
 from brookreach.carbon_aware.tables import ACTIVE_SCHEDULE, RESERVATIONS, SLOT_MS, ReservationRow
 from brookreach.gang_scheduling import transitions
 from brookreach.gang_scheduling.tables import GANGS, QUEUE, GangRow
@@ -62,8 +63,8 @@
         left,
     )
     choice = choose_placement(desk.draft, desk.now, job, free_by_zone(desk))
-    desk.draft.take(reserve(desk.draft, desk.now, job.who, job.room, choice.spans))
-    return ((choice.zone,), choice.from_ms) if choice.zone else ((), desk.now)
+    desk.draft.take(reserve(desk.draft, desk.now, job.holder, job.capacity, choice.intervals))
+    return ((choice.zone,), choice.start_ms) if choice.zone else ((), desk.now)
 
 
 def its_turn(desk: Desk, name: str) -> bool:
@@ -82,7 +83,7 @@
     """By what it has reserved; without, it waits for its turn. Its words stay the same for the slot."""
     slot = desk.now // SLOT_MS
     held: ReservationRow | None = desk.draft.get(RESERVATIONS, who(name))
-    spans = upcoming_intervals(held.spans, slot) if held is not None else ()
+    spans = upcoming_intervals(held.intervals, slot) if held is not None else ()
     if not spans:
         return (), (slot + 1) * SLOT_MS
     zone, first, *_ = spans[0]
