--- a/brookreach/simulation/carbon_aware/drill.py
+++ b/brookreach/simulation/carbon_aware/drill.py
@@ -150,4 +150,4 @@
     return report
 
 
-PLANTS = DEFECTS
+PLANTS = DEFECTS  # the name by which `brookreach drill` finds them
--- a/brookreach/simulation/subsetting/__init__.py
+++ b/brookreach/simulation/subsetting/__init__.py
@@ -1,1 +1,1 @@
-"""Simulation of subsetting: a fleet of balancers with changing views, invariants, and placement at full size."""
+"""Simulation of subsetting: a model of a fleet, invariant checkers, a drill by seed, and placement at full size."""
--- a/brookreach/subsetting/__init__.py
+++ b/brookreach/subsetting/__init__.py
@@ -1,7 +1,7 @@
-"""Scope: which services a marshal holds, and of a large service which nodes.
+"""Subsetting: which services a balancer holds, and of a large service which endpoints.
 
-It owns the placement (a pure function of the agreed view), the settled view that placements are made of, and the
-state machine by which one marshal goes from one placement to the next. It must never read a clock, open a socket
-or draw by chance: times are handed in, and all processes with the same view come to the same placement.
-A marshal that `run` starts imports none of this.
+The package owns the placement (a pure function of the agreed view of the fleet), the hold-down that views pass
+through, and the handover by which one balancer goes from one placement to the next. It never reads a clock, opens a
+socket or draws random numbers: times are handed in, and all processes with the same view come to the same placement.
+A balancer that `run` starts imports none of this.
 """
--- a/brookreach/subsetting/demand.py
+++ b/brookreach/subsetting/demand.py
@@ -1,4 +1,4 @@
-"""How many marshals a service needs, and what it costs each of them."""
+"""How many balancers a service needs, and what it costs each of them."""
 
 from __future__ import annotations
 
@@ -7,11 +7,12 @@
 from brookreach.subsetting.fleet_view import Service
 from brookreach.subsetting.settings import Caps, Settings
 
-ROOM_UP, ROOM_DOWN = 5, 4  # a large service has room for 5/4 of its nodes' copies
+HEADROOM_NUMERATOR = 5  # the balancers of a large service have capacity for 5/4 of the copies of its endpoints
+HEADROOM_DENOMINATOR = 4
 
 
 class Load(NamedTuple):
-    """On one marshal, or of one service on one marshal. RPCs are in thousandths a second, rounded up."""
+    """What lies on one balancer, or what one service puts there. RPCs are in thousandths a second, rounded up."""
 
     services: int = 0
     nodes: int = 0
@@ -19,15 +20,17 @@
     tenants: int = 0
     milli_rpcs: int = 0
 
-    def plus(self, other: Load) -> Load:
-        return Load(*(mine + its for mine, its in zip(self, other, strict=True)))
+    def add(self, other: Load) -> Load:
+        """Returns the sum of both."""
+        return Load(*(own + added for own, added in zip(self, other, strict=True)))
 
-    def within(self, cap: Load) -> bool:
-        return all(mine <= its for mine, its in zip(self, cap, strict=True))
+    def fits_within(self, limit: Load) -> bool:
+        """Returns whether no part exceeds the limit's."""
+        return all(own <= allowed for own, allowed in zip(self, limit, strict=True))
 
 
-def cap_of(caps: Caps, weight: int) -> Load:
-    """The bound of a marshal of this weight."""
+def capacity_limit(caps: Caps, weight: int) -> Load:
+    """Returns the most that a balancer of this weight may hold."""
     return Load(
         caps.services * weight,
         caps.nodes * weight,
@@ -37,30 +40,32 @@
     )
 
 
-def ceiling(dividend: int, divisor: int) -> int:
+def ceil_divide(dividend: int, divisor: int) -> int:
+    """Returns the quotient rounded up."""
     return -(-dividend // divisor)
 
 
 def is_large(service: Service, settings: Settings) -> bool:
-    """Whether each of its marshals holds a subset of its nodes."""
+    """Returns whether each balancer of the service holds a subset of its endpoints."""
     return service.nodes > settings.subset.nodes
 
 
-def wanted(service: Service, settings: Settings) -> int:
-    """Marshals of the service, before what the fleet has."""
-    count = max(settings.spread.marshals, ceiling(service.rpcs, settings.spread.rpcs_per_marshal))
+def required_balancers(service: Service, settings: Settings) -> int:
+    """Returns how many balancers the service should have, however many the fleet has."""
+    for_rpcs = ceil_divide(service.rpcs, settings.spread.rpcs_per_balancer)
+    count = max(settings.spread.balancers, for_rpcs)
     if not is_large(service, settings):
         return count
     subset = settings.subset
     copies = service.nodes * subset.holders
-    with_room = ceiling(copies * ROOM_UP, subset.nodes * ROOM_DOWN)
-    # The last node still meets enough marshals that are not full.
-    for_the_last = ceiling(copies, subset.nodes) + subset.holders
-    return max(count, with_room, for_the_last)
+    with_headroom = ceil_divide(copies * HEADROOM_NUMERATOR, subset.nodes * HEADROOM_DENOMINATOR)
+    # The last endpoint still meets enough balancers that are not full.
+    for_last_endpoint = ceil_divide(copies, subset.nodes) + subset.holders
+    return max(count, with_headroom, for_last_endpoint)
 
 
-def load_of(service: Service, settings: Settings) -> Load:
-    """What one of its marshals has to bear."""
-    share = ceiling(service.rpcs * 1000, wanted(service, settings))
+def load_per_balancer(service: Service, settings: Settings) -> Load:
+    """Returns what one of the service's balancers has to bear."""
+    milli_rpcs = ceil_divide(service.rpcs * 1000, required_balancers(service, settings))
     nodes = min(service.nodes, settings.subset.nodes)
-    return Load(1, nodes, service.routes, service.tenants, share)
+    return Load(1, nodes, service.routes, service.tenants, milli_rpcs)
--- a/brookreach/subsetting/effects.py
+++ b/brookreach/subsetting/effects.py
@@ -1,36 +1,36 @@
-"""What a marshal's scope asks its surroundings to do, and what marshals say to each other when a service moves."""
+"""What a handover asks its surroundings to do, and the messages between balancers when a service moves."""
 
 from __future__ import annotations
 
 import msgspec
 
 
-class Load(msgspec.Struct, frozen=True):
-    """Watch the rows of this service; say `loaded` when they are whole."""
+class LoadService(msgspec.Struct, frozen=True):
+    """Watch the rows of this service; report `service_loaded` when they are complete."""
 
     service: str
 
 
-class Drain(msgspec.Struct, frozen=True):
-    """Take no new RPC of this service; those under way end here. Say `idle` after the last."""
+class DrainService(msgspec.Struct, frozen=True):
+    """Accept no new RPC of this service and finish those in flight; report `service_idle` after the last."""
 
     service: str
 
 
-class Drop(msgspec.Struct, frozen=True):
-    """Watch its rows no longer and forget them."""
+class UnloadService(msgspec.Struct, frozen=True):
+    """Stop watching the service's rows and discard them."""
 
     service: str
 
 
-class AskWhole(msgspec.Struct, frozen=True):
-    """There is a gap after this version: ask for the whole view."""
+class RequestFullView(msgspec.Struct, frozen=True):
+    """Changes after this version are missing: ask for the full view."""
 
     version: int
 
 
-class Question(msgspec.Struct, frozen=True):
-    """One who wants to let go asks a holder: do you serve it, and know this version or a later one?"""
+class HandoverQuery(msgspec.Struct, frozen=True):
+    """A balancer that is to release a service asks a holder whether it serves it at this version or a later one."""
 
     sender: str
     to: str
@@ -38,8 +38,8 @@
     version: int
 
 
-class Answer(msgspec.Struct, frozen=True):
-    """Yes, at this version, in this session. There is no other answer: who can't say yes is silent."""
+class HandoverAck(msgspec.Struct, frozen=True):
+    """The holder serves the service at this version, in this session. A holder that does not stays silent."""
 
     sender: str
     to: str
@@ -48,4 +48,4 @@
     session: int
 
 
-Effect = Load | Drain | Drop | AskWhole | Question | Answer
+Effect = LoadService | DrainService | UnloadService | RequestFullView | HandoverQuery | HandoverAck
--- a/brookreach/subsetting/endpoint_subset.py
+++ b/brookreach/subsetting/endpoint_subset.py
@@ -1,9 +1,9 @@
-"""Which nodes of a large service each of its marshals holds: a pure function of the two lists and the settings.
+"""Which endpoints of a large service each of its balancers holds: a pure function of the two lists and the settings.
 
-Each node goes to the best of the service's marshals by rendezvous score that are not full, `subset.holders` of them.
-Full is a quarter over the mean, so the fullest marshal has at most 5/4 of it, rounded up, before two amendments: a node
-that meets too few which are not full goes to the emptiest, up to `subset.nodes`; and a marshal with fewer than
-`subset.zone_nodes` of a zone takes more of it, as long as none of them has over `subset.most_holders`.
+Each endpoint goes to `subset.holders` of the service's balancers, the best by rendezvous score that are not full
+(rendezvous hashing with bounded loads). A balancer is full at 5/4 of the mean, rounded up, with two exceptions: an
+endpoint that meets too few balancers that are not full goes to the emptiest, up to `subset.nodes`; and a balancer with
+fewer than `subset.zone_nodes` of a zone takes more of it, as long as none of them has over `subset.most_holders`.
 """
 
 from __future__ import annotations
@@ -13,11 +13,12 @@
 import msgspec
 
 from brookreach.subsetting import rendezvous
-from brookreach.subsetting.demand import ROOM_DOWN, ROOM_UP, ceiling
+from brookreach.subsetting.demand import HEADROOM_DENOMINATOR, HEADROOM_NUMERATOR, ceil_divide
+from brookreach.subsetting.fleet_view import Locality
 from brookreach.subsetting.settings import Subset
 
 
-class Node(msgspec.Struct, frozen=True):
+class Endpoint(msgspec.Struct, frozen=True):
     """One endpoint of the service."""
 
     name: str
@@ -25,81 +26,104 @@
     zone: str
 
 
-class Subsets(msgspec.Struct, frozen=True):
-    """Nodes by marshal, in order, and nodes with fewer marshals than `subset.holders`."""
-
-    held: dict[str, tuple[str, ...]]
-    thin: tuple[str, ...]
-
-
-def subsets(service: str, marshals: Sequence[str], nodes: Sequence[Node], settings: Subset) -> Subsets:
-    """All of them to all where the service is no large one."""
-    if len(nodes) <= settings.nodes:
-        everything = tuple(sorted(node.name for node in nodes))
-        thin = everything if len(marshals) < settings.holders else ()
-        return Subsets(dict.fromkeys(sorted(marshals), everything), thin)
-    deal = _Deal(service, marshals, nodes, settings)
-    deal.first()
-    deal.fill_zones()
-    held = {name: tuple(sorted(deal.held[name])) for name in sorted(deal.held)}
-    thin = tuple(sorted(name for name, holders in deal.holders.items() if len(holders) < settings.holders))
-    return Subsets(held, thin)
-
-
-class _Deal:
-    def __init__(self, service: str, marshals: Sequence[str], nodes: Sequence[Node], settings: Subset):
-        self.settings = settings
-        self.key = rendezvous.key_of("node", service)
-        self.octets = [(name, name.encode(), 1) for name in sorted(marshals)]
-        order_key = rendezvous.key_of("nodes", service)
-        scored = [(rendezvous.score(order_key, node.name.encode(), 1), node.name, node) for node in nodes]
-        self.nodes = [node for _, _, node in sorted(scored, key=lambda one: one[:2])]
-        self.held: dict[str, set[str]] = {name: set() for name in sorted(marshals)}
-        self.holders: dict[str, set[str]] = {node.name: set() for node in self.nodes}
-
-    def first(self) -> None:
-        settings = self.settings
-        copies = len(self.nodes) * settings.holders
-        full = min(settings.nodes, ceiling(copies * ROOM_UP, max(1, len(self.held)) * ROOM_DOWN))
-        for node in self.nodes:
-            ranked = [name for _, name in rendezvous.ranked(self.key + self._octets(node), self.octets)]
-            for name in ranked:
-                if len(self.holders[node.name]) < settings.holders and len(self.held[name]) < full:
-                    self._give(node, name)
-            if len(self.holders[node.name]) < settings.holders:
-                self._overflow(node, ranked)
-
-    def _overflow(self, node: Node, ranked: list[str]) -> None:
-        for name in sorted(ranked, key=lambda one: len(self.held[one])):
-            missing = len(self.holders[node.name]) < self.settings.holders
-            if missing and len(self.held[name]) < self.settings.nodes:
-                self._give(node, name)
+class EndpointSubsets(msgspec.Struct, frozen=True):
+    """The names of endpoints by balancer, sorted, and endpoints with fewer balancers than `subset.holders`."""
+
+    endpoints_by_balancer: dict[str, tuple[str, ...]]
+    under_replicated: tuple[str, ...]
+
+
+def assign_subsets(
+    service: str, balancers: Sequence[str], endpoints: Sequence[Endpoint], settings: Subset
+) -> EndpointSubsets:
+    """Returns the subsets; each balancer holds all endpoints where the service is not large."""
+    if len(endpoints) <= settings.nodes:
+        all_names = tuple(sorted(endpoint.name for endpoint in endpoints))
+        under_replicated = all_names if len(balancers) < settings.holders else ()
+        return EndpointSubsets(dict.fromkeys(sorted(balancers), all_names), under_replicated)
+    assignment = _SubsetAssignment(service, balancers, endpoints, settings)
+    assignment.assign_copies()
+    assignment.fill_zones()
+    return assignment.subsets()
+
+
+class _SubsetAssignment:
+    def __init__(self, service: str, balancers: Sequence[str], endpoints: Sequence[Endpoint], settings: Subset) -> None:
+        self._settings = settings
+        self._key = rendezvous.make_key("node", service)
+        self._members = [rendezvous.Member(name, name.encode(), 1) for name in sorted(balancers)]
+        self._endpoints = _hash_order(service, endpoints)
+        self._endpoints_of: dict[str, set[str]] = {name: set() for name in sorted(balancers)}
+        self._holders: dict[str, set[str]] = {endpoint.name: set() for endpoint in self._endpoints}
+
+    def assign_copies(self) -> None:
+        """Gives each endpoint to its best balancers that are not full."""
+        full = self._full_size()
+        for endpoint in self._endpoints:
+            ranking = rendezvous.rank(self._endpoint_key(endpoint), self._members)
+            names = [name for _, name in ranking]
+            for name in names:
+                if self._lacks_holders(endpoint) and len(self._endpoints_of[name]) < full:
+                    self._assign(endpoint, name)
+            if self._lacks_holders(endpoint):
+                self._assign_to_emptiest(endpoint, names)
 
     def fill_zones(self) -> None:
-        zones: dict[tuple[str, str], list[Node]] = {}
-        for node in self.nodes:
-            zones.setdefault((node.region, node.zone), []).append(node)
-        for name, held in self.held.items():
+        """Gives each balancer the least number of endpoints of each zone, where the zone has them."""
+        zones: dict[Locality, list[Endpoint]] = {}
+        for endpoint in self._endpoints:
+            zones.setdefault(Locality(endpoint.region, endpoint.zone), []).append(endpoint)
+        for name in self._endpoints_of:
             for zone in sorted(zones):
-                self._fill(name, held, zones[zone])
-
-    def _fill(self, name: str, held: set[str], nodes: list[Node]) -> None:
-        settings = self.settings
-        missing = settings.zone_nodes - sum(1 for node in nodes if node.name in held)
+                self._fill_zone(name, zones[zone])
+
+    def subsets(self) -> EndpointSubsets:
+        """Returns what was assigned."""
+        by_balancer = {name: tuple(sorted(self._endpoints_of[name])) for name in sorted(self._endpoints_of)}
+        under_replicated = sorted(
+            name for name, holders in self._holders.items() if len(holders) < self._settings.holders
+        )
+        return EndpointSubsets(by_balancer, tuple(under_replicated))
+
+    def _full_size(self) -> int:
+        copies = len(self._endpoints) * self._settings.holders
+        balancers = max(1, len(self._endpoints_of))
+        with_headroom = ceil_divide(copies * HEADROOM_NUMERATOR, balancers * HEADROOM_DENOMINATOR)
+        return min(self._settings.nodes, with_headroom)
+
+    def _lacks_holders(self, endpoint: Endpoint) -> bool:
+        return len(self._holders[endpoint.name]) < self._settings.holders
+
+    def _assign_to_emptiest(self, endpoint: Endpoint, names: list[str]) -> None:
+        for name in sorted(names, key=lambda name: len(self._endpoints_of[name])):
+            if self._lacks_holders(endpoint) and len(self._endpoints_of[name]) < self._settings.nodes:
+                self._assign(endpoint, name)
+
+    def _fill_zone(self, name: str, endpoints: list[Endpoint]) -> None:
+        own = self._endpoints_of[name]
+        missing = self._settings.zone_nodes - sum(1 for endpoint in endpoints if endpoint.name in own)
         if missing <= 0:
             return
-        others = [node for node in nodes if node.name not in held]
-        others.sort(key=lambda node: (len(self.holders[node.name]), self._score(node, name), node.name))
-        for node in others[:missing]:
-            if len(held) < settings.nodes and len(self.holders[node.name]) < settings.most_holders:
-                self._give(node, name)
+        others = [endpoint for endpoint in endpoints if endpoint.name not in own]
+        others.sort(key=lambda endpoint: self._fill_order(endpoint, name))
+        for endpoint in others[:missing]:
+            has_capacity = len(own) < self._settings.nodes
+            if has_capacity and len(self._holders[endpoint.name]) < self._settings.max_holders:
+                self._assign(endpoint, name)
+
+    def _fill_order(self, endpoint: Endpoint, name: str) -> tuple[int, int, str]:
+        """Endpoints with the fewest holders come first."""
+        score = rendezvous.score(self._endpoint_key(endpoint), name.encode(), 1)
+        return len(self._holders[endpoint.name]), score, endpoint.name
+
+    def _assign(self, endpoint: Endpoint, name: str) -> None:
+        self._endpoints_of[name].add(endpoint.name)
+        self._holders[endpoint.name].add(name)
 
-    def _give(self, node: Node, name: str) -> None:
-        self.held[name].add(node.name)
-        self.holders[node.name].add(name)
+    def _endpoint_key(self, endpoint: Endpoint) -> bytes:
+        return self._key + endpoint.name.encode() + rendezvous.SEPARATOR
 
-    def _octets(self, node: Node) -> bytes:
-        return node.name.encode() + rendezvous.SEPARATOR
 
-    def _score(self, node: Node, name: str) -> int:
-        return rendezvous.score(self.key + self._octets(node), name.encode(), 1)
+def _hash_order(service: str, endpoints: Sequence[Endpoint]) -> list[Endpoint]:
+    key = rendezvous.make_key("nodes", service)
+    return sorted(endpoints, key=lambda endpoint: (rendezvous.score(key, endpoint.name.encode(), 1), endpoint.name))
--- a/brookreach/subsetting/fleet_view.py
+++ b/brookreach/subsetting/fleet_view.py
@@ -1,20 +1,28 @@
-"""The agreed view that placements are made of: marshals, services, and the changes from one version to the next.
+"""The agreed view of the fleet that placements are made of: balancers, services, and changes between versions.
 
-Versions are given by the one agreed log (see `settle`). A change says which version it follows; whoever has another
-one must not apply it.
+Versions are given by the one replicated log (see `hold_down`). A change names the version that it follows; it must not
+be applied to any other.
 """
 
 from __future__ import annotations
 
+from collections.abc import Iterable
+from typing import NamedTuple
+
 import msgspec
 
+from brookreach.subsetting.errors import InvalidViewError
+
+
+class Locality(NamedTuple):
+    """A failure domain."""
 
-class ViewError(ValueError):
-    """A view or change that no placement can be made of."""
+    region: str
+    zone: str
 
 
-class Marshal(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One live member of the session table. `weight` is its size in whole units; `session` grows with each start."""
+class Balancer(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """One live balancer. `weight` is its size in whole units; `session` grows with each start."""
 
     name: str
     region: str
@@ -23,9 +31,9 @@
     session: int = 1
 
     @property
-    def place(self) -> tuple[str, str]:
+    def locality(self) -> Locality:
         """Its failure domain."""
-        return self.region, self.zone
+        return Locality(self.region, self.zone)
 
 
 class Service(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -38,75 +46,82 @@
     rpcs: int = 0
 
 
-class View(msgspec.Struct, frozen=True):
-    """One version of the fleet. Rows stand in the order of their names, each name once."""
+class FleetView(msgspec.Struct, frozen=True):
+    """One version of the fleet. Rows are sorted by name, and each name stands once."""
 
     version: int = 0
-    marshals: tuple[Marshal, ...] = ()
+    balancers: tuple[Balancer, ...] = msgspec.field(name="marshals", default=())
     services: tuple[Service, ...] = ()
 
-    def marshal(self, name: str) -> Marshal | None:
-        return next((one for one in self.marshals if one.name == name), None)
+    def balancer(self, name: str) -> Balancer | None:
+        """Returns the balancer of that name."""
+        return next((balancer for balancer in self.balancers if balancer.name == name), None)
 
 
 class ViewChange(msgspec.Struct, frozen=True):
-    """From version `since` to `version`: rows that are new or differ, and names that are gone."""
+    """The rows that are new or changed and the names that are removed from one version to the next."""
 
-    since: int
+    base_version: int = msgspec.field(name="since")
     version: int
-    marshals: tuple[Marshal, ...] = ()
-    gone_marshals: tuple[str, ...] = ()
+    balancers: tuple[Balancer, ...] = msgspec.field(name="marshals", default=())
+    removed_balancers: tuple[str, ...] = msgspec.field(name="gone_marshals", default=())
     services: tuple[Service, ...] = ()
-    gone_services: tuple[str, ...] = ()
-
-
-def view_of(version: int, marshals: list[Marshal], services: list[Service]) -> View:
-    """Sorted and checked; raises ViewError for a name that stands twice or a size under its least."""
-    for kind, names in (("marshal", [one.name for one in marshals]), ("service", [one.name for one in services])):
-        if len(names) != len(set(names)):
-            twice = sorted(name for name in set(names) if names.count(name) > 1)
-            raise ViewError(f"{kind} {twice[0]!r} stands {names.count(twice[0])} times; once is allowed")
-    for marshal in marshals:
-        if marshal.weight < 1:
-            raise ViewError(f"marshal {marshal.name!r}: weight is {marshal.weight}; 1 or more is allowed")
-    for service in services:
-        least = min(service.nodes, service.routes, service.tenants, service.rpcs)
-        if least < 0:
-            raise ViewError(f"service {service.name!r}: a size is {least}; 0 or more is allowed")
-    by_name_marshals = tuple(sorted(marshals, key=lambda one: one.name))
-    by_name_services = tuple(sorted(services, key=lambda one: one.name))
-    return View(version, by_name_marshals, by_name_services)
-
-
-def difference(old: View, new: View) -> ViewChange:
-    """What leads from `old` to `new`."""
-    old_marshals = {one.name: one for one in old.marshals}
-    old_services = {one.name: one for one in old.services}
-    new_marshals = {one.name for one in new.marshals}
-    new_services = {one.name for one in new.services}
+    removed_services: tuple[str, ...] = msgspec.field(name="gone_services", default=())
+
+
+def make_view(version: int, balancers: Iterable[Balancer], services: Iterable[Service]) -> FleetView:
+    """Returns a sorted view; raises InvalidViewError for a duplicate name or a size that is too small."""
+    sorted_balancers = tuple(sorted(balancers, key=lambda balancer: balancer.name))
+    sorted_services = tuple(sorted(services, key=lambda service: service.name))
+    _check_unique("marshal", [balancer.name for balancer in sorted_balancers])
+    _check_unique("service", [service.name for service in sorted_services])
+    for balancer in sorted_balancers:
+        if balancer.weight < 1:
+            raise InvalidViewError(f"marshal {balancer.name!r}: weight is {balancer.weight}; 1 or more is allowed")
+    for service in sorted_services:
+        smallest = min(service.nodes, service.routes, service.tenants, service.rpcs)
+        if smallest < 0:
+            raise InvalidViewError(f"service {service.name!r}: a size is {smallest}; 0 or more is allowed")
+    return FleetView(version, sorted_balancers, sorted_services)
+
+
+def _check_unique(kind: str, sorted_names: list[str]) -> None:
+    if len(sorted_names) == len(set(sorted_names)):
+        return
+    duplicate = next(name for name in sorted_names if sorted_names.count(name) > 1)
+    count = sorted_names.count(duplicate)
+    raise InvalidViewError(f"{kind} {duplicate!r} stands {count} times; once is allowed")
+
+
+def diff_views(old: FleetView, new: FleetView) -> ViewChange:
+    """Returns the change that leads from `old` to `new`."""
+    old_balancers = {balancer.name: balancer for balancer in old.balancers}
+    old_services = {service.name: service for service in old.services}
+    new_balancers = {balancer.name for balancer in new.balancers}
+    new_services = {service.name for service in new.services}
     return ViewChange(
-        since=old.version,
+        base_version=old.version,
         version=new.version,
-        marshals=tuple(one for one in new.marshals if old_marshals.get(one.name) != one),
-        gone_marshals=tuple(name for name in old_marshals if name not in new_marshals),
-        services=tuple(one for one in new.services if old_services.get(one.name) != one),
-        gone_services=tuple(name for name in old_services if name not in new_services),
+        balancers=tuple(row for row in new.balancers if old_balancers.get(row.name) != row),
+        removed_balancers=tuple(name for name in old_balancers if name not in new_balancers),
+        services=tuple(row for row in new.services if old_services.get(row.name) != row),
+        removed_services=tuple(name for name in old_services if name not in new_services),
     )
 
 
-def follows(view: View, change: ViewChange) -> bool:
-    """Whether `change` begins at exactly the version of `view`; anything else is a gap or an old message."""
-    return change.since == view.version
+def is_successor(view: FleetView, change: ViewChange) -> bool:
+    """Returns whether `change` begins at exactly the version of `view`; otherwise it is old or one is missing."""
+    return change.base_version == view.version
 
 
-def changed(view: View, change: ViewChange) -> View:
-    """The next view; raises ViewError where it would be no whole one."""
-    marshals = {one.name: one for one in view.marshals}
-    services = {one.name: one for one in view.services}
-    for name in change.gone_marshals:
-        marshals.pop(name, None)
-    for name in change.gone_services:
+def apply_change(view: FleetView, change: ViewChange) -> FleetView:
+    """Returns the next view; raises InvalidViewError where it would not be valid."""
+    balancers = {balancer.name: balancer for balancer in view.balancers}
+    services = {service.name: service for service in view.services}
+    for name in change.removed_balancers:
+        balancers.pop(name, None)
+    for name in change.removed_services:
         services.pop(name, None)
-    marshals.update((one.name, one) for one in change.marshals)
-    services.update((one.name, one) for one in change.services)
-    return view_of(change.version, list(marshals.values()), list(services.values()))
+    balancers.update((balancer.name, balancer) for balancer in change.balancers)
+    services.update((service.name, service) for service in change.services)
+    return make_view(change.version, balancers.values(), services.values())
--- a/brookreach/subsetting/handover.py
+++ b/brookreach/subsetting/handover.py
@@ -1,204 +1,236 @@
-"""One marshal's way from one placement to the next, without a gap: make before break.
+"""One balancer's way from one placement to the next, without a gap in coverage: make before break.
 
-Whoever is to hold a service loads it at once. Whoever is to hold it no longer goes on until every marshal of the
-service's present placement has answered, in its present session, that it serves the service and knows this version of
-the view or a later one; only then does it drain. Why no instant is without cover, whatever is late, doubled or lost:
-let v be the latest version of which somebody knew all holders to have answered. Each of them knew v or a later
-version when it answered, so it may drain only under a later version, and only after all holders of that one have
-answered, which then is the latest. All holders of version v therefore serve, but for those that died.
+A balancer that is to hold a service loads it at once. One that is to release it goes on until every holder of the
+service's present placement has acknowledged, in its present session, that it serves the service and knows this version
+of the view or a later one; only then does it drain.
 
-It must never drain on words of another version or session, after its lease by its own clock, or because the view
-places a service that is still configured nowhere.
+Why the service is covered at every instant, whatever is late, duplicated or lost: let v be the latest version of which
+some balancer knew all holders to have acknowledged. Each of them knew v or a later version when it did, so it may
+drain only under a later version, and only after all holders of that one have acknowledged, which would then be the
+latest. So all holders of version v serve, but for those that died.
+
+A balancer never drains on acknowledgements of another version or session, after its lease by its own clock, or because
+the view places a service nowhere that is still configured.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-from brookreach.subsetting.effects import Answer, AskWhole, Drain, Drop, Effect, Load, Question
-from brookreach.subsetting.fleet_view import View, ViewChange, changed, follows
-from brookreach.subsetting.incremental_placement import Placer
+from brookreach.subsetting.effects import (
+    DrainService,
+    Effect,
+    HandoverAck,
+    HandoverQuery,
+    LoadService,
+    RequestFullView,
+    UnloadService,
+)
+from brookreach.subsetting.fleet_view import FleetView, ViewChange, apply_change, is_successor
+from brookreach.subsetting.incremental_placement import IncrementalPlacer
 from brookreach.subsetting.settings import Settings
 
 
 @dataclass(slots=True)
-class Held:
-    """One service here. Neither `serving` nor `whole`: its rows are on their way."""
-
-    serving: bool = False  # takes RPCs
-    whole: bool = False  # its rows are whole, in this session
+class HeldService:
+    """A service that this balancer holds. While it is neither serving nor loaded, its rows are on their way.
+
+    Attributes:
+        placement_version: From which on the service's placement is the present one, as far as is known.
+        serving: It accepts RPCs.
+        loaded: Its rows are complete, in this session.
+        draining: It finishes the RPCs in flight.
+        acknowledged: The holders that have acknowledged.
+        queried_ms: When the others were queried last.
+    """
+
+    placement_version: int = 0
+    serving: bool = False
+    loaded: bool = False
     draining: bool = False
-    since: int = 0  # the version from which on its placement is the present one, as far as is known
-    answered: set[str] = field(default_factory=set)
-    asked_ms: int | None = None
+    acknowledged: set[str] = field(default_factory=set)
+    queried_ms: int | None = None
+
+    def reset_acks(self, placement_version: int) -> None:
+        """The placement changed, or may have: acknowledgements of before do not count."""
+        self.placement_version = placement_version
+        self.queried_ms = None
+        self.acknowledged.clear()
 
 
-class ScopeState:
-    """Every method takes `now_ms` by this marshal's own clock where time matters, and gives effects in order."""
+class SubsetHandover:
+    """A balancer's subset of services, without I/O.
 
-    def __init__(self, name: str, settings: Settings):
-        self._name, self._settings = name, settings
-        self._placer = Placer(settings)
+    Methods take `now_ms` by this balancer's own clock where time matters, and return effects in their order.
+    """
+
+    def __init__(self, name: str, settings: Settings) -> None:
+        self._name = name
+        self._settings = settings
+        self._placer = IncrementalPlacer(settings)
         self._holders: dict[str, tuple[str, ...]] = {}
-        self._held: dict[str, Held] = {}
+        self._services: dict[str, HeldService] = {}
         self._session = 0
         self._lease_until_ms = 0
-        self.view = View()
+        self.view = FleetView()
 
     @property
     def serving(self) -> set[str]:
-        """Services whose RPCs are taken."""
-        return {service for service, held in self._held.items() if held.serving}
+        """Services whose RPCs are accepted."""
+        return {service for service, held in self._services.items() if held.serving}
 
     @property
-    def held(self) -> set[str]:
+    def held_services(self) -> set[str]:
         """Services whose rows are held or on their way."""
-        return set(self._held)
+        return set(self._services)
 
     def holders(self, service: str) -> tuple[str, ...]:
-        """Where an RPC of this service is to go, as this marshal knows."""
+        """Returns the balancers that an RPC of this service may be forwarded to, as this balancer knows."""
         return self._holders.get(service, ())
 
     # --- lease ---
 
-    def leased(self, session: int, until_ms: int) -> list[Effect]:
-        """The lease begins or goes on. In another session what is held serves on, and is loaded anew."""
+    def lease_renewed(self, session: int, until_ms: int) -> list[Effect]:
+        """The lease begins or goes on. In a new session held services go on serving and are loaded anew."""
         self._lease_until_ms = until_ms
         if session == self._session:
             return []
         self._session = session
         effects: list[Effect] = []
-        for service in sorted(self._held):
-            held = self._held[service]
-            held.whole = False
-            held.answered.clear()
+        for service in sorted(self._services):
+            held = self._services[service]
+            held.loaded = False
+            held.acknowledged.clear()
             if not held.draining:
-                effects.append(Load(service))
+                effects.append(LoadService(service))
         return effects
 
-    def _leased(self, now_ms: int) -> bool:
+    def _has_lease(self, now_ms: int) -> bool:
         return now_ms < self._lease_until_ms
 
     # --- views ---
 
-    def heard_version(self, version: int) -> list[Effect]:
-        """What the latest one is; asked for where this marshal is behind."""
-        return [AskWhole(self.view.version)] if version > self.view.version else []
+    def version_announced(self, version: int) -> list[Effect]:
+        """The latest version is announced; the view is requested where this balancer is behind."""
+        return [RequestFullView(self.view.version)] if version > self.view.version else []
 
-    def heard_whole(self, view: View, now_ms: int) -> list[Effect]:
-        """Versions between may have been missed, so answers of before don't count."""
+    def full_view_received(self, view: FleetView, now_ms: int) -> list[Effect]:
+        """A full view arrived. Versions between may have been missed, so earlier acknowledgements do not count."""
         if view.version <= self.view.version:
             return []
-        return self._take(view, now_ms, missed=True)
+        return self._update_view(view, now_ms, may_have_missed=True)
 
-    def heard_change(self, change: ViewChange, now_ms: int) -> list[Effect]:
-        """Old ones are left out; after a gap the whole is asked for and the last good view stands."""
+    def view_change_received(self, change: ViewChange, now_ms: int) -> list[Effect]:
+        """A change arrived. Old ones are ignored; after a gap the full view is requested and the present one stays."""
         if change.version <= self.view.version:
             return []
-        if not follows(self.view, change):
-            return [AskWhole(self.view.version)]
-        return self._take(changed(self.view, change), now_ms, missed=False)
-
-    def _take(self, view: View, now_ms: int, missed: bool) -> list[Effect]:
-        before, self.view = self._holders, view
-        self._holders = dict(self._placer.take(view).holders)
+        if not is_successor(self.view, change):
+            return [RequestFullView(self.view.version)]
+        return self._update_view(apply_change(self.view, change), now_ms, may_have_missed=False)
+
+    def _update_view(self, view: FleetView, now_ms: int, *, may_have_missed: bool) -> list[Effect]:
+        holders_before = self._holders
+        self.view = view
+        self._holders = dict(self._placer.update(view).holders)
         effects: list[Effect] = []
         for service, names in self._holders.items():
             if self._name in names:
-                effects += self._hold(service)
-        for service, held in self._held.items():
-            if missed or before.get(service) != self._holders.get(service):
-                held.since, held.asked_ms = view.version, None
-                held.answered.clear()
+                effects += self._acquire(service)
+        for service, held in self._services.items():
+            if may_have_missed or holders_before.get(service) != self._holders.get(service):
+                held.reset_acks(view.version)
         return effects + self.tick(now_ms)
 
-    def _hold(self, service: str) -> list[Effect]:
-        held = self._held.get(service)
+    def _acquire(self, service: str) -> list[Effect]:
+        held = self._services.get(service)
         if held is None:
-            self._held[service] = Held(since=self.view.version)
-            return [Load(service)]
+            self._services[service] = HeldService(self.view.version)
+            return [LoadService(service)]
         if not held.draining:
             return []
-        held.draining, held.serving = False, held.whole
-        return [] if held.whole else [Load(service)]
+        held.draining = False
+        held.serving = held.loaded
+        return [] if held.loaded else [LoadService(service)]
 
     # --- rows and RPCs ---
 
-    def loaded(self, service: str) -> list[Effect]:
-        """Its rows are whole."""
-        held = self._held.get(service)
+    def service_loaded(self, service: str) -> list[Effect]:
+        """The service's rows are complete."""
+        held = self._services.get(service)
         if held is not None:
-            held.whole = True
+            held.loaded = True
             held.serving = not held.draining
         return []
 
-    def idle(self, service: str) -> list[Effect]:
+    def service_idle(self, service: str) -> list[Effect]:
         """The last RPC of a draining service ended."""
-        held = self._held.get(service)
+        held = self._services.get(service)
         if held is None or not held.draining:
             return []
-        del self._held[service]
-        return [Drop(service)]
+        del self._services[service]
+        return [UnloadService(service)]
 
     # --- make before break ---
 
-    def asked(self, question: Question, now_ms: int) -> list[Effect]:
-        """Answers only what is true by its own lease, and at a version not before the question's."""
-        held = self._held.get(question.service)
-        if held is None or not held.serving or not held.whole:
+    def query_received(self, query: HandoverQuery, now_ms: int) -> list[Effect]:
+        """Acknowledges only what is true by this balancer's own lease, and at no earlier version than the query's."""
+        held = self._services.get(query.service)
+        if held is None or not held.serving or not held.loaded:
             return []
-        if not self._leased(now_ms) or self.view.version < question.version:
+        if not self._has_lease(now_ms) or self.view.version < query.version:
             return []
-        return [Answer(self._name, question.sender, question.service, self.view.version, self._session)]
+        return [HandoverAck(self._name, query.sender, query.service, self.view.version, self._session)]
 
-    def answered(self, answer: Answer, now_ms: int) -> list[Effect]:
-        held = self._held.get(answer.service)
-        if held is not None and counts(answer, held.since, self._session_of(answer.sender)):
-            held.answered.add(answer.sender)
+    def ack_received(self, ack: HandoverAck, now_ms: int) -> list[Effect]:
+        """A holder acknowledged."""
+        held = self._services.get(ack.service)
+        if held is not None and is_valid_ack(ack, held.placement_version, self._session_of(ack.sender)):
+            held.acknowledged.add(ack.sender)
         return self.tick(now_ms)
 
     def _session_of(self, name: str) -> int:
-        marshal = self.view.marshal(name)
-        return marshal.session if marshal else 0
+        balancer = self.view.balancer(name)
+        return balancer.session if balancer else 0
 
     def tick(self, now_ms: int) -> list[Effect]:
-        """Lets go of what may be let go of, and asks those who have not answered. Often enough: `times.ask_ms`."""
-        if not self._leased(now_ms):
+        """Releases what may be released and queries silent holders; to be called at least each `times.ask_ms`."""
+        if not self._has_lease(now_ms):
             return []
         effects: list[Effect] = []
-        for service in sorted(self._held):
-            held = self._held[service]
+        for service in sorted(self._services):
+            held = self._services[service]
             if not held.draining and self._name not in self._holders.get(service, ()):
-                effects += self._let_go(service, held, now_ms)
+                effects += self._release(service, held, now_ms)
         return effects
 
-    def _let_go(self, service: str, held: Held, now_ms: int) -> list[Effect]:
-        names = self._holders.get(service)
-        if names is None or (not held.serving and not held.whole):
-            return self._drain(service, held)  # no longer configured, or nobody was ever told that it is held
-        if not names:
+    def _release(self, service: str, held: HeldService, now_ms: int) -> list[Effect]:
+        holders = self._holders.get(service)
+        if holders is None or (not held.serving and not held.loaded):
+            return self._drain(service, held)  # no longer configured, or no balancer relies on this one
+        if not holders:
             return []
-        missing = [name for name in names if name not in held.answered]
+        missing = [name for name in holders if name not in held.acknowledged]
         if may_drain(missing):
             return self._drain(service, held)
-        if held.asked_ms is not None and now_ms - held.asked_ms < self._settings.times.ask_ms:
+        if held.queried_ms is not None and now_ms - held.queried_ms < self._settings.times.query_interval_ms:
             return []
-        held.asked_ms = now_ms
-        return [Question(self._name, name, service, held.since) for name in missing]
+        held.queried_ms = now_ms
+        return [HandoverQuery(self._name, name, service, held.placement_version) for name in missing]
 
-    def _drain(self, service: str, held: Held) -> list[Effect]:
+    def _drain(self, service: str, held: HeldService) -> list[Effect]:
         if not held.serving:
-            del self._held[service]
-            return [Drop(service)]
-        held.draining, held.serving = True, False
-        return [Drain(service)]
+            del self._services[service]
+            return [UnloadService(service)]
+        held.draining = True
+        held.serving = False
+        return [DrainService(service)]
 
 
-def counts(answer: Answer, version: int, session: int) -> bool:
-    """Whether it is of this version or later, and of no earlier life of its sender."""
-    return answer.version >= version and answer.session >= session
+def is_valid_ack(ack: HandoverAck, version: int, session: int) -> bool:
+    """Returns whether the acknowledgement is of this version or later, and of no earlier session of its sender."""
+    return ack.version >= version and ack.session >= session
 
 
 def may_drain(missing: list[str]) -> bool:
-    """All holders have answered."""
+    """Returns whether no holder's acknowledgement is missing."""
     return not missing
--- a/brookreach/subsetting/incremental_placement.py
+++ b/brookreach/subsetting/incremental_placement.py
@@ -1,238 +1,248 @@
 """The placement kept from one view to the next: only services that a change concerns are placed again.
 
-A service's outcome depends on the marshals that it looked at, each taken or refused by the load of the services
-before it in the order. So a change places again: services that looked at a marshal which is gone, services that
-would have looked at one that is new, and those for which a load changed enough to turn a decision. The outcome is
-always that of `place` on the same view, whatever views came before (a property under test).
+A service's outcome depends on the balancers that it examined, each of which accepted or rejected it by the load of
+the services before it in the order. So a change places again: services that examined a balancer which is gone,
+services that would have examined one that is new, and those for which a load changed enough to reverse a decision.
+The outcome is always that of `full_placement.place_services` on the same view, whatever views came before (a property
+under test).
 """
 
 from __future__ import annotations
 
 import heapq
+from collections.abc import Iterable
 
 from brookreach.subsetting import demand, rendezvous
 from brookreach.subsetting.demand import Load
-from brookreach.subsetting.fleet_view import Marshal, Service, View
-from brookreach.subsetting.placement import Placement, Short
+from brookreach.subsetting.fleet_view import Balancer, FleetView, Locality, Service
+from brookreach.subsetting.placement import Placement, Shortfall
 from brookreach.subsetting.placement_entries import (
-    ALL,
-    NONE,
-    MarshalEntry,
-    Order,
+    NOTHING_EXAMINED,
+    WHOLE_ZONE_EXAMINED,
+    BalancerEntry,
     ServiceEntry,
-    Work,
-    marshal_entry,
-    service_entry,
-    total,
+    ServiceOrder,
+    WorkCounters,
+    make_balancer_entry,
+    make_service_entry,
+    sum_loads,
 )
 from brookreach.subsetting.settings import Settings
-from brookreach.subsetting.zone_counts import Zone, quotas, zone_order
+from brookreach.subsetting.zone_counts import order_zones, zone_quotas
 
 
-class Placer:
-    """Hand it one view after another, of any versions; it gives the placement of each."""
+class IncrementalPlacer:
+    """Takes one view after another, of any versions, and returns the placement of each."""
 
-    def __init__(self, settings: Settings):
+    def __init__(self, settings: Settings) -> None:
         self._settings = settings
-        self._marshals: dict[str, MarshalEntry] = {}
-        self._zones: dict[Zone, dict[str, MarshalEntry]] = {}
+        self._balancers: dict[str, BalancerEntry] = {}
+        self._zones: dict[Locality, dict[str, BalancerEntry]] = {}
         self._services: dict[str, ServiceEntry] = {}
-        self._by_order: dict[Order, ServiceEntry] = {}
-        self._due: list[Order] = []
-        self._is_due: set[Order] = set()
-        self.work = Work()
-
-    def take(self, view: View) -> Placement:
-        zones_before = self._zone_sizes()
-        self._take_services(view)
-        joined = self._take_marshals(view)
-        if self._quotas_moved(zones_before):
-            self.work.rebuilds += 1
-            self._mark_all()
+        self._by_order: dict[ServiceOrder, ServiceEntry] = {}
+        self._queue: list[ServiceOrder] = []
+        self._queued: set[ServiceOrder] = set()
+        self.work = WorkCounters()
+
+    def update(self, view: FleetView) -> Placement:
+        """Returns the placement of the view."""
+        zone_sizes_before = self._zone_sizes()
+        self._update_services(view)
+        joined = self._update_balancers(view)
+        if self._quotas_may_differ(zone_sizes_before):
+            self.work.full_rebuilds += 1
+            for order in self._by_order:
+                self._enqueue(order)
         else:
             for entry in joined:
-                self._mark_concerned(entry)
-        self._settle()
+                self._enqueue_concerned(entry)
+        self._place_queued()
         return self._placement()
 
-    def load(self, marshal: str) -> Load:
-        """What lies on it now."""
-        return total(self._marshals[marshal].taken.values())
+    def load(self, balancer: str) -> Load:
+        """Returns what lies on the balancer now."""
+        return sum_loads(self._balancers[balancer].accepted.values())
 
-    # --- what changed ---
+    # --- changes of the view ---
 
-    def _take_services(self, view: View) -> None:
-        now = {one.name: one for one in view.services}
-        for name in [name for name in self._services if name not in now]:
+    def _update_services(self, view: FleetView) -> None:
+        services = {service.name: service for service in view.services}
+        for name in [name for name in self._services if name not in services]:
             self._remove_service(name)
-        for name, service in now.items():
-            placed = self._services.get(name)
-            if placed is None:
+        for name, service in services.items():
+            entry = self._services.get(name)
+            if entry is None:
                 self._add_service(service)
-            elif placed.service != service:
-                placed.service = service
-                placed.wanted = demand.wanted(service, self._settings)
-                placed.load = demand.load_of(service, self._settings)
-                self._mark(placed.order)
+            elif entry.service != service:
+                entry.service = service
+                entry.required = demand.required_balancers(service, self._settings)
+                entry.load = demand.load_per_balancer(service, self._settings)
+                self._enqueue(entry.order)
 
     def _add_service(self, service: Service) -> None:
-        placed = service_entry(service, self._settings)
-        self._services[service.name] = self._by_order[placed.order] = placed
-        self._mark(placed.order)
+        entry = make_service_entry(service, self._settings)
+        self._services[service.name] = entry
+        self._by_order[entry.order] = entry
+        self._enqueue(entry.order)
 
     def _remove_service(self, name: str) -> None:
-        placed = self._services.pop(name)
-        del self._by_order[placed.order]
-        self._is_due.discard(placed.order)
-        freed = self._forget(placed)
-        self._mark_turned(placed.order, freed)
-
-    def _take_marshals(self, view: View) -> list[MarshalEntry]:
-        now = {one.name: one for one in view.marshals}
-        joined = []
-        for name, entry in list(self._marshals.items()):
-            marshal = now.get(name)
-            if marshal is None or (marshal.place, marshal.weight) != (entry.marshal.place, entry.marshal.weight):
-                self._remove_marshal(entry)
-        for name, marshal in now.items():
-            if name not in self._marshals:
-                joined.append(self._add_marshal(marshal))
-        return joined
-
-    def _add_marshal(self, marshal: Marshal) -> MarshalEntry:
-        entry = marshal_entry(marshal, self._settings)
-        self._marshals[marshal.name] = entry
-        self._zones.setdefault(marshal.place, {})[marshal.name] = entry
+        entry = self._services.pop(name)
+        del self._by_order[entry.order]
+        self._queued.discard(entry.order)
+        released = self._release(entry)
+        self._enqueue_reversed(entry.order, released)
+
+    def _update_balancers(self, view: FleetView) -> list[BalancerEntry]:
+        """Removes and adds balancers; returns those that are new or came back with another weight or place."""
+        balancers = {balancer.name: balancer for balancer in view.balancers}
+        for name, entry in list(self._balancers.items()):
+            balancer = balancers.get(name)
+            if balancer is None or _placed_differently(balancer, entry.balancer):
+                self._remove_balancer(entry)
+        return [self._add_balancer(balancer) for name, balancer in balancers.items() if name not in self._balancers]
+
+    def _add_balancer(self, balancer: Balancer) -> BalancerEntry:
+        entry = make_balancer_entry(balancer, self._settings)
+        self._balancers[balancer.name] = entry
+        self._zones.setdefault(balancer.locality, {})[balancer.name] = entry
         return entry
 
-    def _remove_marshal(self, entry: MarshalEntry) -> None:
-        name, zone = entry.marshal.name, entry.marshal.place
-        del self._marshals[name]
+    def _remove_balancer(self, entry: BalancerEntry) -> None:
+        name = entry.balancer.name
+        zone = entry.balancer.locality
+        del self._balancers[name]
         del self._zones[zone][name]
         if not self._zones[zone]:
             del self._zones[zone]
-        for order in [*entry.taken, *entry.refused]:
-            self._by_order[order].looked.discard(name)
+        for order in [*entry.accepted, *entry.rejected]:
+            self._by_order[order].examined.discard(name)
             self._by_order[order].holders.discard(name)
-            self._mark(order)
+            self._enqueue(order)
 
-    def _zone_sizes(self) -> dict[Zone, int]:
+    def _zone_sizes(self) -> dict[Locality, int]:
         return {zone: len(entries) for zone, entries in self._zones.items()}
 
-    def _quotas_moved(self, before: dict[Zone, int]) -> bool:
-        """Whether any service's share of a zone may be another: zones differ, or one is or was nearly used up."""
+    def _quotas_may_differ(self, before: dict[Locality, int]) -> bool:
+        """Returns whether any service's quota of a zone may differ.
+
+        It may where zones appear or disappear, or where a zone has, or had, fewer balancers than a service requires.
+        """
         now = self._zone_sizes()
         if before.keys() != now.keys():
             return True
-        most = max((one.wanted for one in self._services.values()), default=0)
-        return any(now[zone] != before[zone] and min(now[zone], before[zone]) < most for zone in now)
-
-    # --- what is to be placed again ---
-
-    def _mark(self, order: Order) -> None:
-        if order not in self._is_due:
-            self._is_due.add(order)
-            heapq.heappush(self._due, order)
-
-    def _mark_all(self) -> None:
-        for order in self._by_order:
-            self._mark(order)
-
-    def _mark_concerned(self, entry: MarshalEntry) -> None:
-        """Services that would have looked at this new marshal."""
-        zone, octets, weight = entry.marshal.place, entry.octets, entry.marshal.weight
-        self.work.scores += len(self._services) * weight
-        for placed in self._services.values():
-            lowest = placed.lowest.get(zone, ALL)
-            if lowest == ALL or rendezvous.score(placed.key, octets, weight) >= lowest:
-                self._mark(placed.order)
-
-    def _mark_turned(self, order: Order, entries: list[MarshalEntry]) -> None:
-        """Later services for which one of these marshals is now taken where it was refused, or the other way."""
-        for entry in entries:
-            fits_all = total(entry.taken.values()).within(entry.cap)
-            later = [other for other in entry.refused if other > order]
+        most_required = max((entry.required for entry in self._services.values()), default=0)
+        return any(now[zone] != before[zone] and min(now[zone], before[zone]) < most_required for zone in now)
+
+    # --- services to be placed again ---
+
+    def _enqueue(self, order: ServiceOrder) -> None:
+        if order not in self._queued:
+            self._queued.add(order)
+            heapq.heappush(self._queue, order)
+
+    def _enqueue_concerned(self, new: BalancerEntry) -> None:
+        """Enqueues services that would have examined the new balancer."""
+        zone = new.balancer.locality
+        weight = new.balancer.weight
+        self.work.hashes += len(self._services) * weight
+        for entry in self._services.values():
+            lowest = entry.lowest_scores.get(zone, WHOLE_ZONE_EXAMINED)
+            is_whole = lowest == WHOLE_ZONE_EXAMINED
+            if is_whole or rendezvous.score(entry.key, new.encoded_name, weight) >= lowest:
+                self._enqueue(entry.order)
+
+    def _enqueue_reversed(self, order: ServiceOrder, changed: Iterable[BalancerEntry]) -> None:
+        """Enqueues services after `order` that one of the changed balancers would now decide about differently."""
+        for entry in changed:
+            fits_all = sum_loads(entry.accepted.values()).fits_within(entry.limit)
+            later = [other for other in entry.rejected if other > order]
             if not fits_all:
-                later += [other for other in entry.taken if other > order]
+                later += [other for other in entry.accepted if other > order]
             for other in later:
-                fits = entry.load_before(other).plus(self._by_order[other].load).within(entry.cap)
-                if fits != (other in entry.taken):
-                    self._mark(other)
+                fits = entry.load_before(other).add(self._by_order[other].load).fits_within(entry.limit)
+                if fits != (other in entry.accepted):
+                    self._enqueue(other)
 
     # --- placing ---
 
-    def _settle(self) -> None:
-        while self._due:
-            order = heapq.heappop(self._due)
-            if order in self._is_due:
-                self._is_due.discard(order)
+    def _place_queued(self) -> None:
+        while self._queue:
+            order = heapq.heappop(self._queue)
+            if order in self._queued:
+                self._queued.discard(order)
                 self._place(self._by_order[order])
 
-    def _place(self, placed: ServiceEntry) -> None:
-        self.work.services += 1
-        before = {name: self._marshals[name].taken[placed.order] for name in placed.holders}
-        self._forget(placed)
-        order = zone_order(placed.service.name, list(self._zones))
-        dealt = quotas(order, placed.wanted, self._zone_sizes())
-        ranked = {zone: self._ranked(placed.key, zone) for zone in order}
-        missing = sum(self._walk(placed, zone, ranked[zone], dealt[zone]) for zone in order)
+    def _place(self, entry: ServiceEntry) -> None:
+        self.work.services_placed += 1
+        before = {name: self._balancers[name].accepted[entry.order] for name in entry.holders}
+        self._release(entry)
+        zones = order_zones(entry.service.name, list(self._zones))
+        quotas = zone_quotas(zones, entry.required, self._zone_sizes())
+        rankings = {zone: self._rank(entry.key, zone) for zone in zones}
+        missing = sum(self._place_in_zone(entry, zone, rankings[zone], quotas[zone]) for zone in zones)
         if missing:
-            rest = sorted((one for zone in order for one in ranked[zone]), reverse=True)
-            self._spill(placed, rest, missing)
-        after = dict.fromkeys(placed.holders, placed.load)
-        turned = [name for name in sorted({*before, *after}) if before.get(name) != after.get(name)]
-        self._mark_turned(placed.order, [self._marshals[name] for name in turned])
+            self._place_anywhere(entry, rankings.values(), missing)
+        after = dict.fromkeys(entry.holders, entry.load)
+        changed = [name for name in sorted({*before, *after}) if before.get(name) != after.get(name)]
+        self._enqueue_reversed(entry.order, [self._balancers[name] for name in changed])
 
-    def _ranked(self, key: bytes, zone: Zone) -> rendezvous.Ranked:
+    def _rank(self, key: bytes, zone: Locality) -> rendezvous.Ranking:
         entries = self._zones[zone].values()
-        self.work.scores += sum(entry.marshal.weight for entry in entries)
-        return rendezvous.ranked(key, ((entry.marshal.name, entry.octets, entry.marshal.weight) for entry in entries))
-
-    def _walk(self, placed: ServiceEntry, zone: Zone, ranked: rendezvous.Ranked, quota: int) -> int:
-        """Takes the best that have room; hands back how many are missing."""
-        placed.lowest[zone] = ALL if quota else NONE
-        for scored, name in ranked:
-            if not quota:
+        self.work.hashes += sum(entry.balancer.weight for entry in entries)
+        return rendezvous.rank(key, (entry.member for entry in entries))
+
+    def _place_in_zone(self, entry: ServiceEntry, zone: Locality, ranking: rendezvous.Ranking, quota: int) -> int:
+        """Offers the service to the best balancers; returns how many of the quota are missing."""
+        entry.lowest_scores[zone] = WHOLE_ZONE_EXAMINED if quota else NOTHING_EXAMINED
+        missing = quota
+        for score, name in ranking:
+            if not missing:
                 break
-            quota -= self._look(placed, name)
-            placed.lowest[zone] = scored
-        if quota:
-            placed.lowest[zone] = ALL
-        return quota
-
-    def _spill(self, placed: ServiceEntry, rest: rendezvous.Ranked, missing: int) -> None:
-        """Into other zones, the best first. From then on any new marshal concerns this service."""
-        for _, name in rest:
-            if missing and name not in placed.looked:
-                missing -= self._look(placed, name)
-        placed.lowest.clear()
-
-    def _look(self, placed: ServiceEntry, name: str) -> bool:
-        entry = self._marshals[name]
-        placed.looked.add(name)
-        if entry.load_before(placed.order).plus(placed.load).within(entry.cap):
-            entry.taken[placed.order] = placed.load
-            placed.holders.add(name)
+            missing -= self._offer(entry, name)
+            entry.lowest_scores[zone] = score
+        if missing:
+            entry.lowest_scores[zone] = WHOLE_ZONE_EXAMINED
+        return missing
+
+    def _place_anywhere(self, entry: ServiceEntry, rankings: Iterable[rendezvous.Ranking], missing: int) -> None:
+        """Offers the service to all other balancers, the best first; from then on any new one concerns it."""
+        remaining = missing
+        for _, name in sorted((scored for ranking in rankings for scored in ranking), reverse=True):
+            if remaining and name not in entry.examined:
+                remaining -= self._offer(entry, name)
+        entry.lowest_scores.clear()
+
+    def _offer(self, entry: ServiceEntry, name: str) -> bool:
+        """Returns whether the balancer accepts the service."""
+        balancer = self._balancers[name]
+        entry.examined.add(name)
+        if balancer.load_before(entry.order).add(entry.load).fits_within(balancer.limit):
+            balancer.accepted[entry.order] = entry.load
+            entry.holders.add(name)
             return True
-        entry.refused.add(placed.order)
+        balancer.rejected.add(entry.order)
         return False
 
-    def _forget(self, placed: ServiceEntry) -> list[MarshalEntry]:
-        """Takes the service off all marshals; hands back those that held it."""
-        freed = [self._marshals[name] for name in sorted(placed.holders)]
-        for name in placed.looked:
-            self._marshals[name].taken.pop(placed.order, None)
-            self._marshals[name].refused.discard(placed.order)
-        placed.looked.clear()
-        placed.holders.clear()
-        placed.lowest.clear()
-        return freed
+    def _release(self, entry: ServiceEntry) -> list[BalancerEntry]:
+        """Takes the service off all balancers; returns those that held it."""
+        released = [self._balancers[name] for name in sorted(entry.holders)]
+        for name in entry.examined:
+            self._balancers[name].accepted.pop(entry.order, None)
+            self._balancers[name].rejected.discard(entry.order)
+        entry.examined.clear()
+        entry.holders.clear()
+        entry.lowest_scores.clear()
+        return released
 
     def _placement(self) -> Placement:
         holders = {name: tuple(sorted(self._services[name].holders)) for name in sorted(self._services)}
-        short = {
-            name: Short(self._services[name].wanted, len(names))
+        shortfalls = {
+            name: Shortfall(self._services[name].required, len(names))
             for name, names in holders.items()
-            if len(names) < self._services[name].wanted
+            if len(names) < self._services[name].required
         }
-        return Placement(holders, short)
+        return Placement(holders, shortfalls)
+
+
+def _placed_differently(balancer: Balancer, other: Balancer) -> bool:
+    return (balancer.locality, balancer.weight) != (other.locality, other.weight)
--- a/brookreach/subsetting/placement.py
+++ b/brookreach/subsetting/placement.py
@@ -1,4 +1,4 @@
-"""What a placement says: the marshals of each service, and services that have fewer than they want."""
+"""A placement: the balancers of each service, and services that have fewer than they require."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 import msgspec
 
 
-class Short(msgspec.Struct, frozen=True):
-    """A service with fewer marshals than it wants: there are no more, or their caps leave no room."""
+class Shortfall(msgspec.Struct, frozen=True):
+    """A service with fewer balancers than it requires: there are no more, or their caps leave no capacity."""
 
-    wanted: int
+    required: int
     placed: int
 
 
 class Placement(msgspec.Struct, frozen=True):
-    """Names in order; a service that nobody holds has an empty row."""
+    """Names are sorted; a service that no balancer holds has an empty row."""
 
     holders: Mapping[str, tuple[str, ...]]
-    short: Mapping[str, Short]
+    shortfalls: Mapping[str, Shortfall]
 
-    def of(self, marshal: str) -> tuple[str, ...]:
-        """One marshal's own services, in order."""
-        return tuple(sorted(service for service, names in self.holders.items() if marshal in names))
+    def services_of(self, balancer: str) -> tuple[str, ...]:
+        """Returns the services that one balancer holds, sorted."""
+        return tuple(sorted(service for service, names in self.holders.items() if balancer in names))
--- a/brookreach/subsetting/placement_entries.py
+++ b/brookreach/subsetting/placement_entries.py
@@ -1,74 +1,102 @@
-"""What a placer keeps: by marshal what lies on it, by service what was looked at to place it."""
+"""What the incremental placer keeps: by balancer what lies on it, by service what was examined to place it."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from brookreach.subsetting import demand, rendezvous
 from brookreach.subsetting.demand import Load
-from brookreach.subsetting.fleet_view import Marshal, Service
+from brookreach.subsetting.fleet_view import Balancer, Locality, Service
 from brookreach.subsetting.settings import Settings
-from brookreach.subsetting.zone_counts import Zone
 
-Order = tuple[int, str]
-"""Where a service stands among all: hash of its name, name."""
+WHOLE_ZONE_EXAMINED = -1  # below every score
+NOTHING_EXAMINED = 1 << 64  # above every score
 
-ALL = -1  # the lowest score looked at in a zone of which all marshals were
-NONE = 1 << 64  # in a zone of which none was: above every score
+
+class ServiceOrder(NamedTuple):
+    """Where a service stands among all: services are placed in this order."""
+
+    name_hash: int
+    name: str
 
 
 @dataclass(slots=True)
-class MarshalEntry:
-    """One marshal and what lies on it."""
+class BalancerEntry:
+    """One balancer, the services that it accepted with their loads, and those that it rejected for want of capacity."""
 
-    marshal: Marshal
-    octets: bytes
-    cap: Load
-    taken: dict[Order, Load] = field(default_factory=dict)
-    refused: set[Order] = field(default_factory=set)
+    balancer: Balancer
+    encoded_name: bytes
+    limit: Load
+    accepted: dict[ServiceOrder, Load] = field(default_factory=dict)
+    rejected: set[ServiceOrder] = field(default_factory=set)
 
-    def load_before(self, order: Order) -> Load:
-        return total(load for other, load in self.taken.items() if other < order)
+    @property
+    def member(self) -> rendezvous.Member:
+        """The balancer as a member of a ranking."""
+        return rendezvous.Member(self.balancer.name, self.encoded_name, self.balancer.weight)
+
+    def load_before(self, order: ServiceOrder) -> Load:
+        """Returns the load of the services that are placed before `order`."""
+        return sum_loads(load for other, load in self.accepted.items() if other < order)
 
 
 @dataclass(slots=True)
 class ServiceEntry:
-    """One service, its marshals, and what was looked at to find them."""
-
-    order: Order
+    """One service, its balancers, and what was examined to find them.
+
+    Attributes:
+        order: Its place among all services.
+        service: Its sizes.
+        required: How many balancers it should have.
+        load: On each of them.
+        key: Of its rendezvous scores.
+        holders: The balancers that hold it.
+        examined: The balancers that accepted or rejected it.
+        lowest_scores: By zone, the lowest score that was examined.
+    """
+
+    order: ServiceOrder
     service: Service
-    wanted: int
+    required: int
     load: Load
     key: bytes
     holders: set[str] = field(default_factory=set)
-    looked: set[str] = field(default_factory=set)
-    lowest: dict[Zone, int] = field(default_factory=dict)
+    examined: set[str] = field(default_factory=set)
+    lowest_scores: dict[Locality, int] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
-class Work:
+class WorkCounters:
     """Counted since the placer was made."""
 
-    scores: int = 0
-    services: int = 0
-    rebuilds: int = 0
+    hashes: int = 0
+    services_placed: int = 0
+    full_rebuilds: int = 0
 
 
-def total(loads: Iterable[Load]) -> Load:
-    sums = [0] * len(Load._fields)
+def sum_loads(loads: Iterable[Load]) -> Load:
+    """Returns the sum of loads."""
+    totals = [0] * len(Load._fields)
     for load in loads:
-        for at, amount in enumerate(load):
-            sums[at] += amount
-    return Load(*sums)
-
-
-def marshal_entry(marshal: Marshal, settings: Settings) -> MarshalEntry:
-    return MarshalEntry(marshal, marshal.name.encode(), demand.cap_of(settings.caps, marshal.weight))
-
-
-def service_entry(service: Service, settings: Settings) -> ServiceEntry:
-    """Not yet placed."""
-    order = rendezvous.score(rendezvous.key_of("order"), service.name.encode(), 1), service.name
-    wanted, load = demand.wanted(service, settings), demand.load_of(service, settings)
-    return ServiceEntry(order, service, wanted, load, rendezvous.key_of("place", service.name))
+        for index, amount in enumerate(load):
+            totals[index] += amount
+    return Load(*totals)
+
+
+def make_balancer_entry(balancer: Balancer, settings: Settings) -> BalancerEntry:
+    """Returns an entry on which nothing lies."""
+    return BalancerEntry(balancer, balancer.name.encode(), demand.capacity_limit(settings.caps, balancer.weight))
+
+
+def make_service_entry(service: Service, settings: Settings) -> ServiceEntry:
+    """Returns an entry that is not yet placed."""
+    name_hash = rendezvous.score(rendezvous.make_key("order"), service.name.encode(), 1)
+    return ServiceEntry(
+        order=ServiceOrder(name_hash, service.name),
+        service=service,
+        required=demand.required_balancers(service, settings),
+        load=demand.load_per_balancer(service, settings),
+        key=rendezvous.make_key("place", service.name),
+    )
