--- a/brookreach/capacity/measure_anew.py
+++ b/brookreach/capacity/measure_anew.py
@@ -9,10 +9,10 @@
 import click
 
 from brookreach.applications import load_applications
-from brookreach.coordination.ports import Timing
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.state_machine.application import StagedChanges
 from brookreach.coordination.state_machine.machine import StateMachine
+from brookreach.coordination.timing import Timing
 from brookreach.disruption import deadlines
 from brookreach.disruption.permits import KEEP_MS
 from brookreach.disruption.tables import PERMITS, PermitRow
@@ -32,7 +32,7 @@
         name, target = f"old{number}", f"n{number % nodes}"
         draft.put(PERMITS, name, PermitRow("drain", target, "op", 5, WALL, "ended", 1, WALL, WALL, 1, "work"))
         deadlines.at(draft, WALL + KEEP_MS + number, deadlines.FORGET, name)
-    machine.view.take(draft.updates())
+    machine.view.apply_updates(draft.updates())
     fresh = StateMachine(load_applications())
     fresh.restore(machine.snapshot())
     return fresh
--- a/brookreach/carbon_aware/application.py
+++ b/brookreach/carbon_aware/application.py
@@ -8,6 +8,7 @@
 import msgspec
 
 from brookreach.carbon_aware import commands, reservations, zone_preference
+from brookreach.carbon_aware.commands import COMMANDS, VERSION
 from brookreach.carbon_aware.cost_curve import active_version
 from brookreach.carbon_aware.reservations import ReservedInterval
 from brookreach.carbon_aware.schedule import format_time
@@ -54,8 +55,8 @@
     """Schedules of carbon intensity and what flexible work has reserved under them."""
 
     name = "power"
-    version = commands.VERSION
-    orders: Any = commands.COMMANDS  # Any: the type of a union of types has no name
+    version = VERSION
+    commands: Any = COMMANDS  # Any: the type of a union of types has no name
     tables: Mapping[str, type[Row]] = {
         SCHEDULE_INTERVALS: IntensityRow,
         ACTIVE_SCHEDULE: ActiveScheduleRow,
@@ -114,7 +115,7 @@
         changes = StagedChanges(view)
         reservation: ReservationRow | None = view.get(RESERVATIONS, context.client)
         if reservation is not None and reservation.session == context.session:
-            changes.take(reservations.release(view, context.client))
+            changes.apply_updates(reservations.release(view, context.client))
         for key, draft in view.rows(SCHEDULE_DRAFTS):
             if draft.session == context.session and draft.operator == context.client:
                 remove_draft(changes, key)
@@ -153,4 +154,4 @@
     updates = reservations.replace_reservation(
         changes, context.now_ms, holder, intervals, context.session, is_calls=True
     )
-    changes.take(updates)
+    changes.apply_updates(updates)
--- a/brookreach/gang_scheduling/carbon_placement.py
+++ b/brookreach/gang_scheduling/carbon_placement.py
@@ -63,7 +63,7 @@
         left,
     )
     choice = choose_placement(desk.draft, desk.now, job, free_by_zone(desk))
-    desk.draft.take(reserve(desk.draft, desk.now, job.holder, job.capacity, choice.intervals))
+    desk.draft.apply_updates(reserve(desk.draft, desk.now, job.holder, job.capacity, choice.intervals))
     return ((choice.zone,), choice.start_ms) if choice.zone else ((), desk.now)
 
 
@@ -93,4 +93,4 @@
 def let_go(desk: Desk, name: str, row: GangRow) -> None:
     """It has ended: what it reserved is for others."""
     if row.flexible:
-        desk.draft.take(release(desk.draft, who(name)))
+        desk.draft.apply_updates(release(desk.draft, who(name)))
--- a/brookreach/simulation/carbon_aware/drill.py
+++ b/brookreach/simulation/carbon_aware/drill.py
@@ -107,7 +107,7 @@
         model.apply(now_ms, request, marshal, "marshal", index + 1)
         if index == MARSHALS // 2:  # what the first marshal held is for others again
             context = Context(model.log_index, now_ms, "m0", "marshal", 1)
-            model.view.take(APPLICATION.end_session(model.view, context))
+            model.view.apply_updates(APPLICATION.end_session(model.view, context))
     sent = dict.fromkeys(zones, 0)
     usual_shares = dict.fromkeys(zones, USUAL_SHARE)
     for marshal, calls_per_s in calls.items():
--- a/brookreach/simulation/carbon_aware/model.py
+++ b/brookreach/simulation/carbon_aware/model.py
@@ -72,7 +72,7 @@
         self.log_index += 1
         context = Context(self.log_index, now_ms, client, client_kind, session)
         try:
-            self.view.take(APPLICATION.apply(self.view, command, context))
+            self.view.apply_updates(APPLICATION.apply(self.view, command, context))
         except CommandRejectedError as rejection:
             self.rejections.append(str(rejection))
             return False
@@ -100,7 +100,7 @@
         for now_ms in self._instants():
             self._advance_work(last_ms, now_ms)
             self.log_index += 1
-            self.view.take(APPLICATION.advance_time(self.view, Context(self.log_index, now_ms, "", "", 0)))
+            self.view.apply_updates(APPLICATION.advance_time(self.view, Context(self.log_index, now_ms, "", "", 0)))
             for event_ms, event in self.events:
                 if event_ms == now_ms:
                     event(self, now_ms)
@@ -132,7 +132,7 @@
             if active.remaining_ms <= 0:
                 active.run.finished = True
                 del self.active_jobs[name]
-                self.view.take(reservations.release(self.view, name))
+                self.view.apply_updates(reservations.release(self.view, name))
 
     def _decide(self, active: ActiveJob, now_ms: int) -> None:
         decision = self.strategy(self, active, now_ms)
--- a/brookreach/simulation/carbon_aware/strategies.py
+++ b/brookreach/simulation/carbon_aware/strategies.py
@@ -28,7 +28,7 @@
     free = model.scenario.free_capacity(now_ms // SLOT_MS)
     placement = scheduler.choose_placement(model.view, now_ms, request, free, future_capacity)
     updates = reservations.reserve(model.view, now_ms, job.name, job.capacity, placement.intervals)
-    model.view.take(updates)
+    model.view.apply_updates(updates)
     return Decision(placement.zone, bool(placement.zone) and placement.start_ms <= now_ms)
 
 
