--- a/brookreach/cli/xds.py
+++ b/brookreach/cli/xds.py
@@ -23,12 +23,12 @@
     from brookreach.cli.structured import writer
     from brookreach.configuration import BadStart
     from brookreach.files import BadFile
-    from brookreach.tls.pair import PairError
+    from brookreach.tls.errors import InvalidCredentialsError
     from brookreach.xds.config import read
     from brookreach.xds.service import Service
 
     try:
         service = Service(file, read(file), partial(writer, log))
         anyio.run(service.run)
-    except (BadStart, BadFile, PairError, OSError) as error:
+    except (BadStart, BadFile, InvalidCredentialsError, OSError) as error:
         raise click.ClickException(str(error)) from None
--- a/brookreach/tls/__init__.py
+++ b/brookreach/tls/__init__.py
@@ -1,5 +1,5 @@
-"""Keys and certificates that change in service.
+"""TLS credentials that are replaced in service.
 
-It owns reading a pair from files, what makes it fit to be used, and which pair is in use. It must never log
-a key, nor let a pair that does not fit take the place of one that does.
+The package owns reading a certificate chain and its key from files, the checks that make them fit for use, and which
+of them are in use. It must never log a key, nor replace valid credentials by invalid ones.
 """
--- a/brookreach/xds/serve.py
+++ b/brookreach/xds/serve.py
@@ -18,7 +18,7 @@
 import grpc.aio
 from envoy.service.discovery.v3 import discovery_pb2
 
-from brookreach.tls.pair import Keeper
+from brookreach.tls.reloader import CredentialsReloader
 from brookreach.xds.book import Book
 from brookreach.xds.codec import Writer, delta_ask, whole_ask
 from brookreach.xds.messages import Ask, Limits, Refused
@@ -189,7 +189,7 @@
             raise Refused("INVALID_ARGUMENT", "a request that is no DiscoveryRequest") from None
 
 
-def server(front: Front, address: str, keeper: Keeper | None) -> tuple[grpc.aio.Server, int]:
+def server(front: Front, address: str, reloader: CredentialsReloader | None) -> tuple[grpc.aio.Server, int]:
     """A server bound to `address` (host:port), not started; the port. Raises OSError."""
     made = grpc.aio.server(
         options=[
@@ -212,7 +212,7 @@
         )
     )
     try:
-        port = made.add_secure_port(address, credentials(keeper)) if keeper else made.add_insecure_port(address)
+        port = made.add_secure_port(address, credentials(reloader)) if reloader else made.add_insecure_port(address)
     except RuntimeError as error:
         raise OSError(f"can't listen on {address}: {error}") from None
     if port == 0:
@@ -220,16 +220,16 @@
     return made, port
 
 
-def credentials(keeper: Keeper) -> grpc.ServerCredentials:
-    """Each new connection is offered the pair in use then; streams that stand are left alone."""
+def credentials(reloader: CredentialsReloader) -> grpc.ServerCredentials:
+    """Each new connection is offered the credentials in use then; streams that stand are left alone."""
 
     def configuration() -> grpc.ServerCertificateConfiguration:
-        pair = keeper.pair
+        in_use = reloader.credentials
         return grpc.ssl_server_certificate_configuration(
-            [(pair.key, pair.chain)], root_certificates=pair.trusted or None
+            [(in_use.key, in_use.chain)], root_certificates=in_use.trusted_roots or None
         )
 
     def fetch() -> grpc.ServerCertificateConfiguration | None:
-        return configuration() if keeper.look() else None
+        return configuration() if reloader.reload() else None
 
-    return grpc.dynamic_ssl_server_credentials(configuration(), fetch, bool(keeper.pair.trusted))
+    return grpc.dynamic_ssl_server_credentials(configuration(), fetch, bool(reloader.credentials.trusted_roots))
--- a/brookreach/xds/service.py
+++ b/brookreach/xds/service.py
@@ -14,7 +14,7 @@
 from brookreach.files import BadFile
 from brookreach.net.link import Listed
 from brookreach.net.report import Writers
-from brookreach.tls.pair import Keeper
+from brookreach.tls.reloader import CredentialsReloader
 from brookreach.xds import store
 from brookreach.xds.book import Book
 from brookreach.xds.config import ControlFile, read
@@ -44,7 +44,7 @@
         self.front = Front(
             self.book, self.say, told.allowed(), streams=told.serve.streams, clock=self.parts.driver.clock.now
         )
-        self.keeper = self._keeper()
+        self.credentials_reloader = self._make_credentials_reloader()
         self.seats: dict[int, Seat] = {}
         self.heard = False  # of discovery, in this life
         self.port = 0
@@ -53,13 +53,13 @@
         self.parts.discovery.told = self._both(listing)
         self.serving = anyio.Event()
 
-    def _keeper(self) -> Keeper | None:
+    def _make_credentials_reloader(self) -> CredentialsReloader | None:
         tls = self.told.tls
         if tls is None:
             return None
         folder = self.path.parent
         trusted = folder / tls.trusted if tls.trusted else None
-        return Keeper(
+        return CredentialsReloader(
             folder / tls.certificate,
             folder / tls.key,
             trusted,
@@ -87,7 +87,7 @@
         self.front.update(view, self.seats)
 
     async def run(self) -> None:
-        made, self.port = server(self.front, self.told.serve.listen, self.keeper)
+        made, self.port = server(self.front, self.told.serve.listen, self.credentials_reloader)
         self._restore()
         await made.start()
         driver = self.parts.driver
@@ -104,7 +104,7 @@
                 ):
                     tasks.start_soon(task)
                 with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
-                    self.say(f"serves on port {self.port}, {'TLS' if self.keeper else 'plain'}")
+                    self.say(f"serves on port {self.port}, {'TLS' if self.credentials_reloader else 'plain'}")
                     self.serving.set()
                     async for one in signals:
                         if one != signal.SIGHUP:
@@ -138,11 +138,13 @@
     async def keys(self) -> None:
         while True:
             await anyio.sleep((self.told.tls.look_ms if self.told.tls else 60_000.0) / 1000.0)
-            if self.keeper is not None:
-                self.keeper.look()
-                left = self.keeper.pair.days_left(self.keeper.now())
+            if self.credentials_reloader is not None:
+                self.credentials_reloader.reload()
+                left = self.credentials_reloader.credentials.days_left(self.credentials_reloader.now())
                 if left < 14.0:
-                    self.parts.report.say("tls", f"{left:.1f} days left of serial {self.keeper.pair.serial}")
+                    self.parts.report.say(
+                        "tls", f"{left:.1f} days left of serial {self.credentials_reloader.credentials.serial}"
+                    )
 
     def reload(self) -> None:
         """SIGHUP: what can't be read changes nothing."""
@@ -158,8 +160,8 @@
         self.told = told
         self.front.allowed = told.allowed()
         self.book.merge_ms, self.book.linger_ms = told.serve.merge_ms, told.serve.linger_ms
-        if self.keeper is not None:
-            self.keeper.look()
+        if self.credentials_reloader is not None:
+            self.credentials_reloader.reload()
         self.say("configuration read" + (f"; {', '.join(other)} stay until a restart" if other else ""))
 
     def _restore(self) -> None:
