--- a/brookreach/cli/fleet_ask_work.py
+++ b/brookreach/cli/fleet_ask_work.py
@@ -33,9 +33,9 @@
 
 
 def _describe_schedule(view: View) -> str:
-    from brookreach.carbon_aware.tables import CURRENT
+    from brookreach.carbon_aware.tables import ACTIVE_SCHEDULE
 
-    row = view.get(CURRENT, "all")
+    row = view.get(ACTIVE_SCHEDULE, "all")
     if row is None:
         return "no schedule is in force"
     state = f"no longer counts: {row.reason}" if row.reason else "is in force"
@@ -47,18 +47,18 @@
 @click.pass_obj
 def schedule(session: OperatorSession, power: Path) -> None:
     """All go by the schedule of POWER from the place on where its last part is agreed."""
-    from brookreach.carbon_aware.commands import parts
-    from brookreach.carbon_aware.schedule_file import read
+    from brookreach.carbon_aware.commands import upload_commands
+    from brookreach.carbon_aware.schedule_file import read_schedule
 
-    content = report_errors(partial(read, power))
-    commands = list(parts(content.version, content.zones, content.spans))
+    content = report_errors(partial(read_schedule, power))
+    commands = list(upload_commands(content.version, content.zones, content.intervals))
     outcomes = session.propose_all(CARBON_AWARE, commands, _describe_schedule)
     last = outcomes[-1]
     if not last.reply.ok:
         position = f"refused at part {len(outcomes)} of {len(commands)}"
         raise click.ClickException(f"{position}: {last.reply.text}; {last.description}")
     # The schedule is in force once its last part is agreed, whether the client's cache has it already or not.
-    size = f"{len(content.spans)} rows in {len(commands)} records"
+    size = f"{len(content.intervals)} rows in {len(commands)} records"
     click.echo(f"agreed at place {last.reply.index}: schedule {content.version} is in force, {size}")
 
 
@@ -67,9 +67,9 @@
 @click.pass_obj
 def drop_schedule(session: OperatorSession, version: int) -> None:
     """Take the schedule VERSION back: all zones and times count alike."""
-    from brookreach.carbon_aware.commands import Drop
+    from brookreach.carbon_aware.commands import DropSchedule
 
-    session.propose(CARBON_AWARE, Drop(version), _describe_schedule)
+    session.propose(CARBON_AWARE, DropSchedule(version), _describe_schedule)
 
 
 # --- gangs ---
@@ -128,7 +128,7 @@
 @click.pass_obj
 def retire(session: OperatorSession, node: str, at: str) -> None:
     """NODE is taken away at the time AT, as in 2026-10-25T01:00:00+02:00; `withdraw`: it stays after all."""
-    from brookreach.carbon_aware.schedule_file import instant
+    from brookreach.carbon_aware.schedule_file import parse_time
     from brookreach.disruption.commands import AnnounceRetirement, WithdrawRetirement
 
     command: Command
@@ -136,7 +136,7 @@
         command = WithdrawRetirement(node)
     else:
         try:
-            command = AnnounceRetirement(node, instant(at))
+            command = AnnounceRetirement(node, parse_time(at))
         except ValueError as error:
             raise click.ClickException(f"AT: {error}, or 'withdraw'") from None
     session.propose(DISRUPTION, command)
