--- a/brookreach/disruption/permit_requests.py
+++ b/brookreach/disruption/permit_requests.py
@@ -39,7 +39,6 @@
     Raises:
         CommandRejectedError: the name or target can't be used, or the target's kind has no budget.
     """
-    kind = permits.target_kind_of(action)
     row = _requestable_target(draft, name, action, target)
     existing = permits.find_permit(draft, name)
     if existing is None:
@@ -50,18 +49,31 @@
         if existing.state != PermitState.WAITING or urgency <= existing.urgency:
             return existing
         permit = structs.replace(existing, urgency=urgency)
-    targets.remove_from_indexes(draft, kind, target)
-    draft.put(PERMITS, name, permit)
-    if existing is None:
-        pending = targets.open_permits(draft, kind, target)
-        targets.save_open_permits(draft, kind, target, structs.replace(pending, names=(*pending.names, name)))
-    targets.add_to_indexes(draft, kind, target)
-    places = 0 if targets.is_unavailable(row, targets.permits_of(draft, kind, target)) else 1
-    if all(budgets.allowed_disruptions(draft, kind, scope) >= places for scope in budgets.scopes_of(row)):
+    _save_waiting(draft, name, permit)
+    if _could_be_granted(draft, row, action, target):
         permit_grants.grant_waiting(draft, context)
     return permits.get_permit(draft, name)
 
 
+def _save_waiting(draft: StagedChanges, name: str, permit: PermitRow) -> None:
+    """Puts the permit, which may have another rank than before, among its target's open ones."""
+    kind = permits.target_kind_of(permit.action)
+    targets.remove_from_indexes(draft, kind, permit.target)
+    draft.put(PERMITS, name, permit)
+    pending = targets.open_permits(draft, kind, permit.target)
+    if name not in pending.names:
+        added = structs.replace(pending, names=(*pending.names, name))
+        targets.save_open_permits(draft, kind, permit.target, added)
+    targets.add_to_indexes(draft, kind, permit.target)
+
+
+def _could_be_granted(view: View, row: NodeRow | BalancerRow, action: PermitAction, target: str) -> bool:
+    """Whether the target's scopes have a place for it, so that the queue is worth a look."""
+    kind = permits.target_kind_of(action)
+    places = 0 if targets.is_unavailable(row, targets.permits_of(view, kind, target)) else 1
+    return all(budgets.allowed_disruptions(view, kind, scope) >= places for scope in budgets.scopes_of(row))
+
+
 def _requestable_target(view: View, name: str, action: PermitAction, target: str) -> NodeRow | BalancerRow:
     kind = permits.target_kind_of(action)
     row = budgets.find_target(view, kind, target)
