--- a/brookreach/disruption/build_assignments.py
+++ b/brookreach/disruption/build_assignments.py
@@ -49,7 +49,7 @@
 
 
 def last_stable_build(view: View, build: int) -> int:
-    """The build itself, or the latest before it that was not rolled back. See `releases.roll_back`: no cycle."""
+    """The build itself, or the latest before it that was not rolled back. There is no cycle: see `release_checks`."""
     while (release := find_release(view, build)) is not None and release.state in ROLLBACK_STATES:
         build = release.previous_build
     return build
--- a/brookreach/disruption/releases.py
+++ b/brookreach/disruption/releases.py
@@ -10,7 +10,7 @@
 from msgspec import structs
 
 from brookreach.coordination.state_machine.application import CommandRejectedError, Context, StagedChanges, View
-from brookreach.disruption import budgets, build_assignments, deadlines, halt, permit_grants, permits
+from brookreach.disruption import budgets, build_assignments, deadlines, halt, permit_grants, permits, release_checks
 from brookreach.disruption.build_assignments import find_release, get_progress, save_progress
 from brookreach.disruption.commands import RollBackRelease, StartRelease
 from brookreach.disruption.deadlines import TimerKind
@@ -24,14 +24,12 @@
 )
 from brookreach.disruption.tables import RELEASES, ReleaseRow
 
-ALL_THOUSANDTHS = 1000
-
 
 def traffic_cap(view: View, build: int) -> int:
     """Share of the picks, in thousandths, that balancers may send to nodes of the build."""
     release = find_release(view, build)
     if release is None or release.state == ReleaseState.RELEASED:
-        return ALL_THOUSANDTHS
+        return release_checks.ALL_THOUSANDTHS
     if release.state in ROLLBACK_STATES or not release.stage:
         return 0
     return release.traffic_caps[release.stage - 1]
@@ -53,39 +51,6 @@
     _save(draft, changed)
 
 
-def check_startable(view: View, command: StartRelease) -> None:
-    """Checks the build and the one to roll back to, and that no other release is open.
-
-    Raises:
-        CommandRejectedError: one of these does not hold.
-    """
-    known = find_release(view, command.build)
-    previous = find_release(view, command.previous_build)
-    if known is not None:
-        never = " and never returns" if known.state in ROLLBACK_STATES else ""
-        raise CommandRejectedError(
-            f"build {command.build} is {known.state}{never}: release a build with another number"
-        )
-    previous_is_unreleased = previous is not None and previous.state != ReleaseState.RELEASED
-    if command.build == command.previous_build or previous_is_unreleased:
-        problem = previous.state if previous else "the same"
-        raise CommandRejectedError(
-            f"earlier build {command.previous_build} is {problem}: one that runs well is needed to go back to"
-        )
-    for _, other in iterate_rows(view, RELEASES):
-        if other.state not in (ReleaseState.RELEASED, ReleaseState.ROLLED_BACK):
-            raise CommandRejectedError(f"build {other.build} is {other.state}: one release at a time")
-
-
-def _check_stages(command: StartRelease) -> None:
-    shares = list(command.node_shares)
-    caps = command.traffic_caps
-    if len(caps) != len(shares):
-        raise CommandRejectedError(f"{len(caps)} caps for {len(shares)} shares: one for each stage")
-    if shares != sorted(set(shares)) or shares[-1] != ALL_THOUSANDTHS:
-        raise CommandRejectedError(f"shares {shares}: each greater than the one before, the last 1000")
-
-
 def start(draft: StagedChanges, command: StartRelease, context: Context) -> None:
     """Starts a release and opens its first stage.
 
@@ -97,8 +62,8 @@
         raise CommandRejectedError(
             f"halt {current_halt.fence} by {current_halt.by} stands ({current_halt.reason}): no stage opens"
         )
-    check_startable(draft, command)
-    _check_stages(command)
+    release_checks.check_startable(draft, command)
+    release_checks.check_stages(command)
     nodes = budgets.outage_count(draft, TargetKind.NODE, budgets.ALL_SCOPE).total
     if not nodes or budgets.find_budget(draft, TargetKind.NODE, budgets.ALL_SCOPE) is None:
         raise CommandRejectedError("no node is known, or nodes have no budget for scope all: none could restart")
@@ -198,17 +163,7 @@
     Raises:
         CommandRejectedError: the build is in no release, rolled back already, or not the latest one.
     """
-    release = find_release(draft, command.build)
-    if release is None or release.state in ROLLBACK_STATES:
-        raise CommandRejectedError(f"build {command.build} is {release.state if release else 'in no release'}")
-    for _, other in iterate_rows(draft, RELEASES):
-        if other.fence > release.fence and other.state != ReleaseState.ROLLED_BACK:
-            raise CommandRejectedError(f"build {other.build} came after it and is {other.state}: send that back first")
-    previous = find_release(draft, release.previous_build)
-    if previous is not None and previous.state in ROLLBACK_STATES:
-        raise CommandRejectedError(
-            f"its earlier build {previous.build} is {previous.state}: release a good build instead"
-        )
+    release = release_checks.check_rollback(draft, command)
     start_rollback(draft, context, release, f"sent back by {context.client}: {command.reason}")
     permit_grants.grant_waiting(draft, context)
 
