--- a/brookreach/coordination/raft/progress.py
+++ b/brookreach/coordination/raft/progress.py
@@ -23,7 +23,7 @@
     SNAPSHOT = auto()  # sends a snapshot
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class InFlightAppend:
     """Entries that were sent and not yet acknowledged."""
 
--- a/brookreach/coordination/raft/read_index.py
+++ b/brookreach/coordination/raft/read_index.py
@@ -22,12 +22,16 @@
 
 
 class ReadQueue:
-    """The reads of one leader's term, in the order of their requests."""
+    """The reads of one leader's term, in the order of their requests.
+
+    Attributes:
+        last_round: The last round that was begun for the sake of reads.
+    """
 
     def __init__(self) -> None:
         self._pending: deque[PendingRead] = deque()
         self._confirmed: list[ConfirmedRead] = []
-        self._last_round = 0  # the last round begun for the sake of reads
+        self.last_round = 0
 
     def __len__(self) -> int:
         return len(self._pending)
@@ -41,15 +45,9 @@
         """Add a read at `index`; it needs a round after the current one."""
         self._pending.append(PendingRead(ticket, current_round + 1, index))
 
-    def need_round(self, current_round: int, confirmed_round: int) -> bool:
-        """Whether to begin a round now: reads wait for one, and none that was begun for reads is outstanding."""
-        if not self._pending or self._pending[-1].needed_round <= current_round:
-            return False
-        return confirmed_round >= self._last_round
-
-    def on_round_begun(self, round_number: int) -> None:
-        """Take note of a round begun for the sake of reads."""
-        self._last_round = round_number
+    def need_round(self, current_round: int) -> bool:
+        """Whether reads wait for a round after the current one."""
+        return bool(self._pending) and self._pending[-1].needed_round > current_round
 
     def confirm(self, confirmed_round: int) -> None:
         """Confirm the reads whose round a majority has answered."""
--- a/brookreach/coordination/raft/replication.py
+++ b/brookreach/coordination/raft/replication.py
@@ -149,9 +149,10 @@
 
     def flush(self) -> None:
         """Send what can be sent, before output is handed out."""
-        if self.reads.need_round(self.round, self._confirmed_round()):
+        # One round for the sake of reads at a time: the next one serves all reads requested meanwhile.
+        if self.reads.need_round(self.round) and self._confirmed_round() >= self.reads.last_round:
             self._sender.begin_round()
-            self.reads.on_round_begun(self.round)
+            self.reads.last_round = self.round
         self._sender.send_pending()
         self.advance_commit_index()  # a single member gets no answers
 
@@ -204,7 +205,7 @@
         if state.role != Role.LEADER:
             return
         self._continue_transfer()
-        if state.commit_index >= self.first_index:
+        if self.reads and state.commit_index >= self.first_index:
             self.reads.confirm(self._confirmed_round())
 
     def _on_commit(self) -> None:
--- a/brookreach/coordination/server/leadership_barrier.py
+++ b/brookreach/coordination/server/leadership_barrier.py
@@ -12,7 +12,7 @@
 from brookreach.coordination.raft.node import RaftNode
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)  # not frozen: one is made for each request, and a frozen one takes twice as long
 class Request:
     """A client's request."""
 
--- a/brookreach/coordination/server/watches.py
+++ b/brookreach/coordination/server/watches.py
@@ -29,7 +29,7 @@
 MESSAGE_OVERHEAD_BYTES = 64  # of a message beside its rows, about
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class _Next:
     """What a client is told next, if anything, and about how many bytes that takes."""
 
