--- a/brookreach/cli/fleet_ask_work.py
+++ b/brookreach/cli/fleet_ask_work.py
@@ -38,7 +38,7 @@
     row = view.get(ACTIVE_SCHEDULE, "all")
     if row is None:
         return "no schedule is in force"
-    state = f"no longer counts: {row.reason}" if row.reason else "is in force"
+    state = f"no longer counts: {row.end_reason}" if row.end_reason else "is in force"
     return f"schedule {row.version} {state}"
 
 
