--- a/brookreach/coordination/server/process.py
+++ b/brookreach/coordination/server/process.py
@@ -49,9 +49,9 @@
         BadFile: If the file names no such replica.
         StorageError: If the storage can't be opened.
     """
-    replica = next((replica for replica in cluster.keeper if replica.name == name), None)
+    replica = next((replica for replica in cluster.replicas if replica.name == name), None)
     if replica is None:
-        known = ", ".join(replica.name for replica in cluster.keeper)
+        known = ", ".join(replica.name for replica in cluster.replicas)
         raise BadFile([f"{path}: no keeper {name!r}; there are {known}"])
     folder = path.parent / replica.disk
     try:
