--- a/tests/coordination/test_transport.py
+++ b/tests/coordination/test_transport.py
@@ -55,6 +55,7 @@
         _, told = self.read()
         self.assertEqual(told.addresses(), {"k1": ("127.0.0.1", 19000), "k2": ("127.0.0.1", 19001)})
         self.assertEqual(told.times(), Timing())
+        self.assertEqual(set(msgspec.structs.asdict(told.timing)), set(Timing.__dataclass_fields__))
         self.assertEqual(list(msgspec.structs.asdict(told.timing).values()), list(asdict(Timing()).values()))
         different = [float(number) for number in range(2, 2 + len(told.timing.__struct_fields__))]
         timing = msgspec.structs.replace(told, timing=type(told.timing)(*different)).times()
