--- a/brookreach/cli/fleet.py
+++ b/brookreach/cli/fleet.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from brookreach.coordination.client.one_shot import OneShotClient
     from brookreach.coordination.storage.sqlite import SqliteStorage
-    from brookreach.disruption.node_agent import Facts
+    from brookreach.disruption.node_agent import NodeDescription
 
 LOG_LINES_PER_SECOND = 20
 
@@ -115,27 +115,27 @@
 
     nodes = _read_nodes(config, room)
     if gangs is None:
-        from brookreach.disruption.node_agent import play
+        from brookreach.disruption.node_agent import run_agents
 
         away_s = None if away_ms is None else away_ms / 1000.0
-        report_errors(lambda: anyio.run(play, file, nodes, away_s, click.echo))
+        report_errors(lambda: anyio.run(run_agents, file, nodes, away_s, click.echo))
         return
     if away_ms is not None:
         raise click.ClickException("--away-ms with --gangs: nodes that gangs use are not played away")
     from brookreach.gang_scheduling.agent import process
 
-    report_errors(lambda: anyio.run(process.play, file, nodes, room, gangs, click.echo))
+    report_errors(lambda: anyio.run(process.run_agents, file, nodes, room, gangs, click.echo))
 
 
-def _read_nodes(config: Path, capacity: int) -> list[Facts]:
+def _read_nodes(config: Path, capacity: int) -> list[NodeDescription]:
     """Returns the nodes of a load balancer's configuration, each with `capacity` for long jobs."""
     from dataclasses import replace
 
     from brookreach.configuration import BadStart, object_at
-    from brookreach.disruption.node_agent import nodes_of
+    from brookreach.disruption.node_agent import nodes_from_configuration
 
     try:
-        return [replace(node, room=capacity) for node in nodes_of(object_at(str(config), "CONFIG"))]
+        return [replace(node, capacity=capacity) for node in nodes_from_configuration(object_at(str(config), "CONFIG"))]
     except BadStart as error:
         raise click.ClickException(str(error)) from None
     except (KeyError, TypeError, ValueError) as error:
@@ -157,12 +157,12 @@
 
 async def _read_state(client: OneShotClient) -> dict[str, Any]:
     """Returns the object that `show --json` prints."""
-    import msgspec
+    from brookreach.coordination.protocol.tags import wire_fields
 
     view = await client.read_view()
     cache = client.client.cache
     tables = {
-        table: {row_key: msgspec.structs.asdict(row) for row_key, row in view.rows(table)}
+        table: {row_key: wire_fields(row) for row_key, row in view.rows(table)}
         for table in sorted(cache.watched)
     }
     return {"leader": client.leader, "index": cache.index, "at_ms": cache.agreed_time_ms, "tables": tables}
--- a/brookreach/cli/fleet_ask.py
+++ b/brookreach/cli/fleet_ask.py
@@ -65,10 +65,10 @@
 @click.pass_obj
 def drain(session: OperatorSession, node: str, name: str, urgency: int, reason: str) -> None:
     """A permit for NODE to go out."""
-    from brookreach.disruption.commands import AskDrain
+    from brookreach.disruption.commands import RequestDrain
 
     permit = _permit_name(name, "drain", node)
-    session.propose(DISRUPTION, AskDrain(permit, node, urgency, reason), partial(_describe_permit, permit))
+    session.propose(DISRUPTION, RequestDrain(permit, node, urgency, reason), partial(_describe_permit, permit))
 
 
 @ask.command()
@@ -79,10 +79,10 @@
 @click.pass_obj
 def restart(session: OperatorSession, marshal: str, name: str, urgency: int, reason: str) -> None:
     """A permit for MARSHAL to restart."""
-    from brookreach.disruption.commands import AskRestart
+    from brookreach.disruption.commands import RequestRestart
 
     permit = _permit_name(name, "restart", marshal)
-    session.propose(DISRUPTION, AskRestart(permit, marshal, urgency, reason), partial(_describe_permit, permit))
+    session.propose(DISRUPTION, RequestRestart(permit, marshal, urgency, reason), partial(_describe_permit, permit))
 
 
 @ask.command("take-back")
@@ -91,9 +91,9 @@
 @click.pass_obj
 def take_back(session: OperatorSession, name: str, reason: str) -> None:
     """The permit NAME is taken back: out of the queue, or its target comes back."""
-    from brookreach.disruption.commands import TakeBack
+    from brookreach.disruption.commands import WithdrawPermit
 
-    session.propose(DISRUPTION, TakeBack(name, reason), partial(_describe_permit, name))
+    session.propose(DISRUPTION, WithdrawPermit(name, reason), partial(_describe_permit, name))
 
 
 @ask.command()
@@ -125,9 +125,10 @@
 @click.pass_obj
 def gone(session: OperatorSession, kind: Literal["node", "marshal"], name: str, reason: str) -> None:
     """The node or marshal NAME will never come back."""
-    from brookreach.disruption.commands import Gone
+    from brookreach.disruption.commands import Decommission
+    from brookreach.disruption.states import TargetKind
 
-    session.propose(DISRUPTION, Gone(kind, name, reason))
+    session.propose(DISRUPTION, Decommission(TargetKind(kind), name, reason))
 
 
 @ask.command()
@@ -135,11 +136,13 @@
 def budgets(session: OperatorSession) -> None:
     """All budgets are as FILE's [[budget]] tables say from now on."""
     from brookreach.coordination import configuration
-    from brookreach.disruption.commands import BudgetFor, SetBudgets
+    from brookreach.disruption.commands import BudgetEntry, SetBudgets
+    from brookreach.disruption.states import TargetKind
 
     cluster = report_errors(partial(configuration.read, session.file))
     rows = tuple(
-        BudgetFor(budget.kind, budget.scope, budget.most_out, budget.least_ready) for budget in cluster.budgets
+        BudgetEntry(TargetKind(budget.kind), budget.scope, budget.most_out, budget.least_ready)
+        for budget in cluster.budgets
     )
     session.propose(DISRUPTION, SetBudgets(rows), lambda _view: f"{len(rows)} budgets")
 
--- a/brookreach/cli/fleet_ask_work.py
+++ b/brookreach/cli/fleet_ask_work.py
@@ -81,10 +81,10 @@
 @click.pass_obj
 def gang(session: OperatorSession, gangs: Path, names: tuple[str, ...]) -> None:
     """Submit the gangs of GANGS, each for itself: one that is refused keeps none of the others."""
-    from brookreach.gang_scheduling.gang_file import read
+    from brookreach.gang_scheduling.gang_file import read_gang_file
 
     now_ms = time.time_ns() // NANOSECONDS_PER_MS
-    known = {submission.gang: submission for submission in report_errors(partial(read, gangs, now_ms))}
+    known = {submission.gang: submission for submission in report_errors(partial(read_gang_file, gangs, now_ms))}
     for name in names:
         if name not in known:
             raise click.ClickException(f"{gangs}: no gang {name!r}; {', '.join(known)} stand there")
@@ -114,9 +114,9 @@
 @click.pass_obj
 def cancel(session: OperatorSession, name: str, reason: str) -> None:
     """End GANG; of one that has ended, take its rows away."""
-    from brookreach.gang_scheduling.commands import Cancel
+    from brookreach.gang_scheduling.commands import CancelGang
 
-    session.propose(GANG_SCHEDULING, Cancel(name, reason), partial(_describe_gang, name))
+    session.propose(GANG_SCHEDULING, CancelGang(name, reason), partial(_describe_gang, name))
 
 
 # --- retirements of nodes and releases of builds ---
@@ -129,14 +129,14 @@
 def retire(session: OperatorSession, node: str, at: str) -> None:
     """NODE is taken away at the time AT, as in 2026-10-25T01:00:00+02:00; `withdraw`: it stays after all."""
     from brookreach.carbon_aware.schedule_file import instant
-    from brookreach.disruption.commands import RetirementNotice, RetirementWithdrawn
+    from brookreach.disruption.commands import AnnounceRetirement, WithdrawRetirement
 
     command: Command
     if at == WITHDRAW:
-        command = RetirementWithdrawn(node)
+        command = WithdrawRetirement(node)
     else:
         try:
-            command = RetirementNotice(node, instant(at))
+            command = AnnounceRetirement(node, instant(at))
         except ValueError as error:
             raise click.ClickException(f"AT: {error}, or 'withdraw'") from None
     session.propose(DISRUPTION, command)
@@ -153,7 +153,7 @@
     from brookreach.disruption.tables import RELEASES
 
     row = view.get(RELEASES, str(build))
-    return f"build {build} {row.state}, stage {row.stage} of {len(row.shares)}" if row is not None else ""
+    return f"build {build} {row.state}, stage {row.stage} of {len(row.node_shares)}" if row is not None else ""
 
 
 @click.command()
@@ -176,16 +176,16 @@
     on_votes: int,
 ) -> None:
     """Begin the release of BUILD."""
-    from brookreach.disruption.commands import BeginRelease
+    from brookreach.disruption.commands import StartRelease
 
-    command = BeginRelease(
+    command = StartRelease(
         build=build,
-        earlier=earlier,
-        shares=shares,
-        caps=caps,
-        wait_ms=wait_ms,
-        back_votes=back_votes,
-        on_votes=on_votes,
+        previous_build=earlier,
+        node_shares=shares,
+        traffic_caps=caps,
+        soak_ms=wait_ms,
+        rollback_votes_needed=back_votes,
+        promote_votes_needed=on_votes,
     )
     session.propose(DISRUPTION, command, partial(_describe_release, build))
 
@@ -196,9 +196,9 @@
 @click.pass_obj
 def send_back(session: OperatorSession, build: int, reason: str) -> None:
     """BUILD goes back from any stage, and never returns."""
-    from brookreach.disruption.commands import SendBack
+    from brookreach.disruption.commands import RollBackRelease
 
-    session.propose(DISRUPTION, SendBack(build, reason), partial(_describe_release, build))
+    session.propose(DISRUPTION, RollBackRelease(build, reason), partial(_describe_release, build))
 
 
 WORK_COMMANDS = (schedule, drop_schedule, gang, cancel, retire, release, send_back)
--- a/brookreach/cli/operator_session.py
+++ b/brookreach/cli/operator_session.py
@@ -152,22 +152,22 @@
     from brookreach.applications import load_applications
     from brookreach.carbon_aware.tables import CURRENT, OFFERS
     from brookreach.coordination.state_machine import sessions
-    from brookreach.disruption.tables import ASSIGNED, BUDGETS, HALT, MARSHALS, NODES, PERMITS, RELEASES
-    from brookreach.gang_scheduling.tables import GANGS, MEMBERS, ROOMS
+    from brookreach.disruption.tables import BALANCERS, BUDGETS, BUILD_ASSIGNMENTS, HALT, NODES, PERMITS, RELEASES
+    from brookreach.gang_scheduling.tables import GANGS, MEMBERS, RESERVED_CAPACITY
 
     types = {name: row for application in load_applications() for name, row in application.tables.items()}
     types[sessions.SESSIONS] = sessions.TABLES[sessions.SESSIONS]
     names = (
         NODES,
-        MARSHALS,
+        BALANCERS,
         PERMITS,
         HALT,
         RELEASES,
         BUDGETS,
-        ASSIGNED,
+        BUILD_ASSIGNMENTS,
         GANGS,
         MEMBERS,
-        ROOMS,
+        RESERVED_CAPACITY,
         CURRENT,
         OFFERS,
         sessions.SESSIONS,
