--- a/brookreach/coordination/client/cache.py
+++ b/brookreach/coordination/client/cache.py
@@ -53,7 +53,7 @@
         self.agreed_time_ms = 0
         self.awaiting_reply = False
         self._watched_set = frozenset(self.watched)
-        self._tables = DigestedTables({name: types[name] for name in self.watched})
+        self._digested = DigestedTables({name: types[name] for name in self.watched})
         self._needs_snapshot = True
         self._partial: PartialSnapshot | None = None
         self._older_snapshots = 0
@@ -63,24 +63,24 @@
 
     def get(self, table: str, key: str) -> Any:
         """Returns a row, or None."""
-        return self._tables.get(table, key)
+        return self._digested.tables.get(table, key)
 
     def rows(self, table: str, prefix: str = "") -> list[tuple[str, Any]]:
         """Returns the keys that begin with `prefix` with their rows, in the order of the keys."""
-        return self._tables.rows(table, prefix)
+        return self._digested.tables.rows(table, prefix)
 
     def count(self, table: str) -> int:
         """Returns the number of rows."""
-        return self._tables.count(table)
+        return self._digested.tables.count(table)
 
     def digest(self) -> str:
         """Returns a digest of all rows, the same in every process whose rows are the same."""
-        return self._tables.digest()
+        return self._digested.tables.digest()
 
     @property
     def unreadable(self) -> Mapping[tuple[str, str], str]:
         """Rows that this version of the program can't decode, by table and key, with the error's text."""
-        return self._tables.unreadable
+        return self._digested.unreadable
 
     @property
     def up_to_date(self) -> bool:
@@ -148,7 +148,7 @@
         return self._replace_rows(partial) if message.last else []
 
     def _replace_rows(self, snapshot: PartialSnapshot) -> list[RowsChanged | RowUnreadable]:
-        removals = self._tables.removals(kept={(row.table, row.key) for row in snapshot.rows})
+        removals = self._digested.removals(kept={(row.table, row.key) for row in snapshot.rows})
         events = self._apply([*removals, *snapshot.rows], snapshot.digest, snapshot.index, is_snapshot=True)
         self._partial = None
         self._needs_snapshot = False
@@ -157,7 +157,7 @@
     def _apply(
         self, rows: list[messages.RowChange], digest: bytes | None, index: int, is_snapshot: bool
     ) -> list[RowsChanged | RowUnreadable]:
-        applied = self._tables.apply(rows, digest)
+        applied = self._digested.apply(rows, digest)
         if applied is None:
             raise self._reject(Rejection.DIGEST_MISMATCH)
         self.index = index
--- a/brookreach/coordination/client/digested_tables.py
+++ b/brookreach/coordination/client/digested_tables.py
@@ -8,7 +8,6 @@
 
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
-from typing import Any
 
 from brookreach.coordination.client.events import RowUnreadable
 from brookreach.coordination.errors import InvalidRowError, RowTooLargeError
@@ -33,51 +32,36 @@
     """Decoded tables with the digest of all rows, also of those that can't be decoded.
 
     Attributes:
+        tables: The rows that could be decoded; changed by `apply` only.
         unreadable: The error's text by table and key for each row that can't be decoded.
     """
 
     def __init__(self, types: Mapping[str, type[Row]]):
         self.unreadable: dict[RowKey, str] = {}
-        self._tables = Tables(types)
+        self.tables = Tables(types)
         self._names = tuple(types)
         self._unreadable_digests: dict[RowKey, int] = {}
 
-    def get(self, table: str, key: str) -> Any:
-        """Returns a row, or None."""
-        return self._tables.get(table, key)
-
-    def rows(self, table: str, prefix: str = "") -> list[tuple[str, Any]]:
-        """Returns the keys that begin with `prefix` with their rows, in the order of the keys."""
-        return self._tables.rows(table, prefix)
-
-    def count(self, table: str) -> int:
-        """Returns the number of rows that could be decoded."""
-        return self._tables.count(table)
-
-    def digest(self) -> str:
-        """Returns a digest of the decoded rows."""
-        return self._tables.digest()
-
     def removals(self, kept: Collection[RowKey]) -> list[messages.RowChange]:
         """Returns the changes that remove every row that is not in `kept`."""
-        present = [(table, key) for table in self._names for key, _ in self.rows(table)]
+        present = [(table, key) for table in self._names for key, _ in self.tables.rows(table)]
         present += self.unreadable
         return [messages.RowChange(table, key, None) for table, key in present if (table, key) not in kept]
 
     def apply(self, rows: Collection[messages.RowChange], digest: bytes | None) -> AppliedRows | None:
         """Applies all of `rows` if that leads to `digest`; else changes nothing and returns None."""
-        previous_rows = [self._tables.stored(row.table, row.key) for row in rows]
+        previous_rows = [self.tables.stored(row.table, row.key) for row in rows]
         previous_unreadable = dict(self.unreadable)
         previous_digests = dict(self._unreadable_digests)
         applied = AppliedRows()
         decoded = [self._decode(row, applied) for row in rows]
-        changed = self._tables.write(decoded)
+        changed = self.tables.write(decoded)
         if self._digest_sum() != digest:
-            self._tables.write(previous_rows)
+            self.tables.write(previous_rows)
             self.unreadable = previous_unreadable
             self._unreadable_digests = previous_digests
             return None
-        applied.updates = tuple(RowUpdate(row.table, row.key, self.get(row.table, row.key)) for row in changed)
+        applied.updates = tuple(RowUpdate(row.table, row.key, self.tables.get(row.table, row.key)) for row in changed)
         return applied
 
     def _decode(self, row: messages.RowChange, applied: AppliedRows) -> StoredRow:
@@ -85,7 +69,7 @@
         self.unreadable.pop(row_key, None)
         self._unreadable_digests.pop(row_key, None)
         try:
-            return self._tables.decode(row.table, row.key, row.octets)
+            return self.tables.decode(row.table, row.key, row.octets)
         except (InvalidRowError, RowTooLargeError) as error:
             self.unreadable[row_key] = str(error)
             self._unreadable_digests[row_key] = row_digest(row)
@@ -94,5 +78,5 @@
             return StoredRow(None, messages.RowChange(row.table, row.key, None))
 
     def _digest_sum(self) -> bytes:
-        total = sum(self._tables.digest_sums.values()) + sum(self._unreadable_digests.values())
+        total = sum(self.tables.digest_sums.values()) + sum(self._unreadable_digests.values())
         return (total % DIGEST_MODULUS).to_bytes(ROW_DIGEST_BYTES, "big")
