--- a/brookreach/cli/fleet.py
+++ b/brookreach/cli/fleet.py
@@ -162,8 +162,7 @@
     view = await client.read_view()
     cache = client.client.cache
     tables = {
-        table: {row_key: wire_fields(row) for row_key, row in view.rows(table)}
-        for table in sorted(cache.watched)
+        table: {row_key: wire_fields(row) for row_key, row in view.rows(table)} for table in sorted(cache.watched)
     }
     return {"leader": client.leader, "index": cache.index, "at_ms": cache.agreed_time_ms, "tables": tables}
 
@@ -185,7 +184,7 @@
 @WAIT_OPTION
 def seats(file: Path, way: Literal["add", "remove"], keeper: str, wait: float) -> None:
     """Give the KEEPER a seat, or take it away. One at a time; each must have come along before the next."""
-    from brookreach.coordination.server.proposals import ChangeMembership
+    from brookreach.coordination.server.membership_commands import ChangeMembership
     from brookreach.coordination.state_machine.sessions import MEMBERSHIP
 
     OperatorSession(file, wait).propose(MEMBERSHIP, ChangeMembership(way, keeper))
--- a/brookreach/cli/operator_session.py
+++ b/brookreach/cli/operator_session.py
@@ -150,7 +150,7 @@
     A carbon-aware schedule's rows are not among them: they are many and stand in its file.
     """
     from brookreach.applications import load_applications
-    from brookreach.carbon_aware.tables import CURRENT, OFFERS
+    from brookreach.carbon_aware.tables import ACTIVE_SCHEDULE, ZONE_QUOTAS
     from brookreach.coordination.state_machine import sessions
     from brookreach.disruption.tables import BALANCERS, BUDGETS, BUILD_ASSIGNMENTS, HALT, NODES, PERMITS, RELEASES
     from brookreach.gang_scheduling.tables import GANGS, MEMBERS, RESERVED_CAPACITY
@@ -168,8 +168,8 @@
         GANGS,
         MEMBERS,
         RESERVED_CAPACITY,
-        CURRENT,
-        OFFERS,
+        ACTIVE_SCHEDULE,
+        ZONE_QUOTAS,
         sessions.SESSIONS,
     )
     return {name: types[name] for name in names}
