--- a/brookreach/cli/drill.py
+++ b/brookreach/cli/drill.py
@@ -32,8 +32,8 @@
 def drill(name: str, seed: int, seeds: int, processes: int | None, plant: str | None, as_json: bool) -> None:
     """Exit 0 where all rules are kept, else 1 with the seed that shows it again."""
     part = importlib.import_module(DRILLS[name])
-    if plant and plant not in part.PLANTS:
-        raise click.ClickException(f"no defect {plant!r}; {', '.join(part.PLANTS)} can be planted")
+    if plant and plant not in part.DEFECTS:
+        raise click.ClickException(f"no defect {plant!r}; {', '.join(part.DEFECTS)} can be planted")
     more: dict[str, Any] = {}
     if processes is not None:
         if "processes" not in inspect.signature(part.run).parameters:
@@ -45,5 +45,5 @@
         report = part.run(seed, seeds, plant or "", progress=progress(f"drill {name}", as_json), **more)
     except ValueError as error:
         raise click.ClickException(str(error)) from None
-    out(as_json, report.told(), report.text)
-    raise SystemExit(0 if report.good else 1)
+    out(as_json, report.as_dict(), report.as_text)
+    raise SystemExit(0 if report.passed else 1)
--- a/brookreach/scale/control_cluster.py
+++ b/brookreach/scale/control_cluster.py
@@ -27,7 +27,8 @@
 from brookreach.model.keepers_crowd import fleet
 from brookreach.scale.control_children import ChildFailed, HollowChild, Usage, usage
 from brookreach.scale.hollow_protocol import Figures
-from brookreach.simulation.processes.program import Child, Children, Group, Ports
+from brookreach.simulation.processes.ports import PortAllocator
+from brookreach.simulation.processes.program import ClusterConfiguration, ProgramProcess, ProgramProcesses
 from brookreach.simulation.processes.relay import Relay
 
 MOST_ZONES, FEW_ZONES, FEW_MARSHALS = 6, 2, 48  # a zone has one process of hollow marshals; few marshals, few zones
@@ -61,15 +62,15 @@
         return f"election_ms = {self.election_ms}", f"lease_ms = {self.lease_ms}"
 
 
-class FreePorts(Ports):
+class FreePorts(PortAllocator):
     """Loopback ports that nobody listens on, from a drawn one on: several runs may be under way on one machine."""
 
     def __init__(self) -> None:
         super().__init__(random.SystemRandom().randrange(FIRST_PORT, LAST_PORT), LAST_PORT + MOST_PORTS)
 
-    def take(self) -> int:
+    def allocate(self) -> int:
         while True:
-            port = super().take()
+            port = super().allocate()
             with contextlib.suppress(OSError), socket.socket() as one:
                 one.bind(("127.0.0.1", port))
                 return port
@@ -82,19 +83,23 @@
 class Cluster:
     """Use `open_cluster`. `relay` is there where links may be cut; then all connections lead through it."""
 
-    def __init__(self, folder: Path, size: Size, seed: int, relayed: bool, children: Children):
+    def __init__(self, folder: Path, size: Size, seed: int, relayed: bool, children: ProgramProcesses):
         self.size, self.children = size, children
         self.keepers = tuple(f"k{number + 1}" for number in range(size.keepers))
-        self.group = Group(folder, self.keepers, (*size.zones, DRIVER), FreePorts())
+        self.group = ClusterConfiguration(folder, self.keepers, (*size.zones, DRIVER), FreePorts())
         (folder / "group.key").write_bytes(os.urandom(KEY_BYTES))  # no process of another run is heard
-        self.relay = Relay(self.group.relay_ports(), seed) if relayed else None
+        self.relay = Relay(self.group.relay_endpoints(), seed) if relayed else None
         if not relayed:
-            self.group.relayed = {(one, keeper): self.group.listens[keeper] for one, keeper in self.group.relayed}
+            self.group.relay_ports = {
+                (one, keeper): self.group.listen_ports[keeper] for one, keeper in self.group.relay_ports
+            }
         self.hollow = [
-            HollowChild(f"hollow-{zone}", self.group.file(zone, size.timing()), first, count, zone, size.nodes, seed)
+            HollowChild(
+                f"hollow-{zone}", self.group.write_file(zone, size.timing()), first, count, zone, size.nodes, seed
+            )
             for zone, first, count in shares(size)
         ]
-        self.file = self.group.file(DRIVER, size.timing())
+        self.file = self.group.write_file(DRIVER, size.timing())
         self.told = configuration.read(self.file)
         self.key = configuration.read_key(self.file, self.told)
         self.operator = self.talk("operator", "operator")
@@ -106,13 +111,13 @@
     def start_keepers(self) -> None:
         octets = fleet(self.size.nodes).snapshot()
         for name in self.keepers:
-            path = self.group.file(name, self.size.timing())
+            path = self.group.write_file(name, self.size.timing())
             disk = disk_of(path, configuration.read(path), name)
             disk.found(self.keepers)
             disk.save(PendingSave(1, "", 0, [], (1, 1, self.keepers, octets)))
             disk.close()
             words = ("fleet", "keep", str(path), "--keeper", name)
-            self.children.add(Child(name, self.group.folder / name, words)).start()
+            self.children.add(ProgramProcess(name, self.group.folder / name, words)).start()
 
     # --- what is asked of it ---
 
@@ -130,9 +135,9 @@
 
     def usage(self, keeper: str) -> Usage:
         """Raises ChildFailed where it has ended."""
-        child = self.children.all[keeper]
-        if not child.up or child.process is None:
-            raise ChildFailed(f"{keeper} has ended: {child.told()}")
+        child = self.children.by_name[keeper]
+        if not child.is_running or child.process is None:
+            raise ChildFailed(f"{keeper} has ended: {child.log_tail()}")
         return usage(child.process.pid)
 
     async def reports(self) -> list[Figures]:
@@ -172,7 +177,7 @@
 @asynccontextmanager
 async def open_cluster(folder: Path, size: Size, seed: int, relayed: bool = False) -> AsyncIterator[Cluster]:
     """Keepers run and have a leader, hollow processes wait for Begin; raises ChildFailed, NotHeard."""
-    with Children() as children:
+    with ProgramProcesses() as children:
         cluster = Cluster(folder, size, seed, relayed, children)
         async with AsyncExitStack() as ends, anyio.create_task_group() as tasks:
             if cluster.relay is not None:
--- a/brookreach/scale/storm.py
+++ b/brookreach/scale/storm.py
@@ -21,6 +21,7 @@
 from brookreach.scale.control_cluster import AT_ONCE, DRIVER, Cluster, Size, open_cluster
 from brookreach.scale.control_day import change
 from brookreach.scale.hollow_protocol import Figures
+from brookreach.simulation.processes.relay import Impairment
 
 QUIET_S = 2.0  # after the last marshal is up to date: what is told of it to the others
 APART_S, CHANGES = 6.0, 10  # how long regions are cut from each other, and what changes meanwhile
@@ -119,7 +120,7 @@
     await stands(cluster)
     phase, killed = Phase(cluster, "all return, the leader was killed"), await cluster.leader()
     await phase.begin()
-    cluster.children.all[killed].kill()
+    cluster.children.by_name[killed].kill()
     await cluster.mark(gone=killed)
     return [await phase.end()]
 
@@ -148,11 +149,11 @@
     zones = cluster.size.zones
     near = [*zones[: len(zones) // 2], DRIVER, *cluster.keepers[:-1]]
     far = [*zones[len(zones) // 2 :], cluster.keepers[-1]]
-    ways = cluster.relay.between(near, far) + cluster.relay.between(far, near)
+    ways = cluster.relay.links_between(near, far) + cluster.relay.links_between(far, near)
     apart = Phase(cluster, "regions cut from each other")
     await apart.begin()
     for way in ways:
-        way.cut = True
+        way.impair(Impairment(cut=True))
     await anyio.sleep(APART_S)
     await cluster.asked(SetBudgets((BudgetFor("node", "all", 0, 0),)))
     indexes = [await _agreed(cluster, number) for number in range(CHANGES)]
@@ -160,7 +161,7 @@
     together = Phase(cluster, "regions reach each other again")
     await together.begin()
     for way in ways:
-        way.calm()
+        way.reset()
     await cluster.mark(index=max(indexes))
     return [first, await together.end()]
 
--- a/brookreach/simulation/coordination/defects.py
+++ b/brookreach/simulation/coordination/defects.py
@@ -18,7 +18,7 @@
 from brookreach.coordination.state_machine.machine import StateMachine
 from brookreach.coordination.state_machine.sessions import ANSWERS, SESSIONS, asked
 from brookreach.coordination.state_machine.tables import Tables
-from brookreach.simulation.defect import Plants
+from brookreach.simulation.defect import Defect, Defects
 from brookreach.simulation.engine import faults, participants
 
 
@@ -87,18 +87,18 @@
     return opened
 
 
-PLANTS: Plants = {
-    "stale-read": (node, "LeaderReplication", lambda right: NoRound),
-    "older-terms": (node, "LeaderReplication", lambda right: OlderTerms),
-    "vote-not-saved": (node, "NodeState", lambda right: Forgetful),
-    "no-drift": (participants, "told", no_drift),
-    "twice": (replica, "Leader", lambda right: Twice),
-    "snapshot-without-sessions": (replica, "StateMachine", lambda right: Dropping),
+DEFECTS: Defects = {
+    "stale-read": Defect(node, "LeaderReplication", lambda right: NoRound),
+    "older-terms": Defect(node, "LeaderReplication", lambda right: OlderTerms),
+    "vote-not-saved": Defect(node, "NodeState", lambda right: Forgetful),
+    "no-drift": Defect(participants, "told", no_drift),
+    "twice": Defect(replica, "Leader", lambda right: Twice),
+    "snapshot-without-sessions": Defect(replica, "StateMachine", lambda right: Dropping),
     # No defect: a known limit.
-    "older-disk": (faults, "THEMES", lambda right: {"all": ("older", "kill", "leader killed")}),
+    "older-disk": Defect(faults, "THEMES", lambda right: {"all": ("older", "kill", "leader killed")}),
 }
-MUTATION_PLANTS: Plants = {
-    "no-seal": (frames, "open_frame", no_seal),
-    "any-term": (node, "MOST_JUMP", lambda right: 1 << 60),
-    "twice": (replica, "Leader", lambda right: Twice),
+MUTATION_DEFECTS: Defects = {
+    "no-seal": Defect(frames, "open_frame", no_seal),
+    "any-term": Defect(node, "MOST_JUMP", lambda right: 1 << 60),
+    "twice": Defect(replica, "Leader", lambda right: Twice),
 }
--- a/brookreach/simulation/disruption/fleet_drain.py
+++ b/brookreach/simulation/disruption/fleet_drain.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from brookreach.disruption import commands, queue, tables
-from brookreach.simulation.defect import planted
+from brookreach.simulation.defect import Defect, inject_defect
 from brookreach.simulation.disruption.sequential_group import Group, Step
 
 MOST_OVER = 1.2
@@ -91,7 +91,7 @@
     for way, plant in (("as built", ""), ("by age alone", "by age")):
         for spread in (False, True):
             began = time.process_time()
-            with planted({"by age": (queue, "_loads", lambda right: lambda *_: {})}, plant):
+            with inject_defect({"by age": Defect(queue, "_loads", lambda right: lambda *_: {})}, plant):
                 ratios = [over_bound(seed, nodes, spread, sigma) for seed in range(1, seeds + 1)]
             record_ms = (time.process_time() - began) * 1000 / seeds / (3 * nodes)
             asked = "asked by chance" if spread else "asked zone by zone"
--- a/brookreach/simulation/disruption/sequential_group.py
+++ b/brookreach/simulation/disruption/sequential_group.py
@@ -10,7 +10,7 @@
 
 from brookreach.coordination.state_machine.application import CommandRejectedError, Context, RowUpdate
 from brookreach.disruption.application import APPLICATION
-from brookreach.simulation.engine.ordered_tables import Ordered
+from brookreach.simulation.engine.ordered_tables import OrderedTables
 
 
 def kept(tables: Mapping[str, type[Any]]) -> Mapping[str, type[Any]]:
@@ -34,7 +34,7 @@
     """Keepers without keepers. `heard` is told each step, after the state has it."""
 
     def __init__(self, heard: Callable[[Step], None] = lambda step: None):
-        self.view, self.index, self.at_ms, self.heard = Ordered(), 0, 0, heard
+        self.view, self.index, self.at_ms, self.heard = OrderedTables(), 0, 0, heard
         self.sessions: dict[str, int] = {}
 
     def begin(self, by: str) -> int:
@@ -74,7 +74,7 @@
 
     def snapshot(self) -> None:
         """Another keeper goes on from what this one wrote."""
-        fresh = Ordered()
+        fresh = OrderedTables()
         for table, form in kept(APPLICATION.tables).items():
             for key, row in self.view.rows(table):
                 fresh.take([RowUpdate(table, key, msgspec.msgpack.decode(msgspec.msgpack.encode(row), type=form))])
--- a/brookreach/simulation/engine/ordered_tables.py
+++ b/brookreach/simulation/engine/ordered_tables.py
@@ -10,7 +10,7 @@
 from brookreach.coordination.state_machine.application import RowUpdate
 
 
-class Ordered:
+class OrderedTables:
     """A `piece.View`; `walk` reads as far as it is asked to."""
 
     def __init__(self) -> None:
--- a/brookreach/simulation/gang_scheduling/cluster_model.py
+++ b/brookreach/simulation/gang_scheduling/cluster_model.py
@@ -23,7 +23,7 @@
 from brookreach.gang_scheduling.application import Gangs
 from brookreach.gang_scheduling.commands import Noticed, Orders
 from brookreach.gang_scheduling.tables import GANGS, MEMBERS, GangRow
-from brookreach.simulation.engine.ordered_tables import Ordered
+from brookreach.simulation.engine.ordered_tables import OrderedTables
 from brookreach.simulation.gang_scheduling.ground_truth import DRIFT, Budget, Truth
 from brookreach.simulation.gang_scheduling.node_model import Node
 
@@ -38,7 +38,7 @@
 class World:
     def __init__(self, seed: int, most: int = 8, lease: float = 3000.0, poll: float = 4000.0, rough: bool = True):
         self.chance, self.now, self.index = random.Random(seed), 0.0, 0
-        self.piece, self.view, self.truth = Gangs(Budget(most)), Ordered(), Truth()
+        self.piece, self.view, self.truth = Gangs(Budget(most)), OrderedTables(), Truth()
         self.lease, self.poll, self.rough = lease, poll, rough
         self.nodes: dict[str, Node] = {}
         self.sessions: dict[str, tuple[int, float]] = {}  # by node: session, when the group may end it
--- a/brookreach/simulation/subsetting/invariants.py
+++ b/brookreach/simulation/subsetting/invariants.py
@@ -87,7 +87,7 @@
             if late and not tracked.covered:
                 self._look_new(tracked, now_ms)
             return
-        self._report.looked("coverage")
+        self._report.record_check("coverage")
         if count + excused < least:
             text = f"{count} marshals serve it, {least} are the least, {excused} died lately"
             self._broken("coverage", tracked, now_ms, text)
@@ -96,7 +96,7 @@
         """It may be placed on some that died lately, though they never served it."""
         died = {name for name, when in self._died.items() if now_ms - when <= self._excuse_ms}
         least, count = self._settings.spread.marshals, len(tracked.serving)
-        self._report.looked("new service")
+        self._report.record_check("new service")
         if count + len(died - tracked.serving) < least:
             self._broken("new service", tracked, now_ms, f"{count} serve it after {HELD_WITHIN_MS} ms")
 
@@ -113,7 +113,7 @@
     def _look_still(self, marshal: str, services: set[str], now_ms: int) -> None:
         if self._still is None:
             return
-        self._report.looked("stillness")
+        self._report.record_check("stillness")
         more = services - self._still.get(marshal, set())
         if more:
             name = min(more)
@@ -122,11 +122,11 @@
     def at_rest(self, row: Marshal, services: set[str], placed: set[str], now_ms: int) -> None:
         """Serves exactly what the agreed view places on it, within the caps as the settings give them."""
         marshal = row.name
-        self._report.looked("agreement")
+        self._report.record_check("agreement")
         if services != placed:
             text = f"{marshal} serves {sorted(services)}, placed on it are {sorted(placed)}"
-            self._report.broken(Violation("agreement", marshal, self._seed, now_ms, text))
-        self._report.looked("caps")
+            self._report.add_violation(Violation("agreement", marshal, self._seed, now_ms, text))
+        self._report.record_check("caps")
         caps, rows = self._settings.caps, [self._tracked[name].service for name in services if name in self._tracked]
         nodes = sum(min(row.nodes, self._settings.subset.nodes) for row in rows)
         tenants, routes = sum(row.tenants for row in rows), sum(row.routes for row in rows)
@@ -138,7 +138,7 @@
         ):
             if amount > most * row.weight:
                 text = f"{marshal} holds {amount} {what}, {most * row.weight} are allowed"
-                self._report.broken(Violation("caps", marshal, self._seed, now_ms, text))
+                self._report.add_violation(Violation("caps", marshal, self._seed, now_ms, text))
 
     def _broken(self, rule: str, tracked: Tracked, now_ms: int, text: str) -> None:
-        self._report.broken(Violation(rule, tracked.service.name, self._seed, now_ms, text))
+        self._report.add_violation(Violation(rule, tracked.service.name, self._seed, now_ms, text))
