--- a/brookreach/simulation/coordination/defects.py
+++ b/brookreach/simulation/coordination/defects.py
@@ -18,8 +18,8 @@
 from brookreach.coordination.state_machine.tables import Tables
 from brookreach.simulation.defect import Defect, Defects
 from brookreach.simulation.engine import fault_planner, process_timing
-from brookreach.simulation.engine.fault_planner import Scenario
 from brookreach.simulation.engine.faults import FaultKind
+from brookreach.simulation.engine.scenarios import Scenario
 
 
 class UnconfirmedReads(LeaderReplication):
--- a/brookreach/simulation/coordination/invariants.py
+++ b/brookreach/simulation/coordination/invariants.py
@@ -138,7 +138,7 @@
             self._recorder.record_violation(Rule.NO_EARLY_ACKNOWLEDGEMENT, at_ms, text)
 
     def on_frame_received(self, at_ms: float, source: str, target: str, body: messages.Body) -> None:  # noqa: ARG002
-        """Check what clients are answered. (`source` is a part of the observer's interface.)"""
+        """Check what clients are answered. `source` is a part of the observer's interface."""
         history = self._clients.get(target)
         if history is None:
             return
--- a/brookreach/simulation/coordination/record_invariants.py
+++ b/brookreach/simulation/coordination/record_invariants.py
@@ -35,7 +35,7 @@
         self._last_fences: dict[str, int] = {}
 
     def __call__(self, at_ms: float, applied: AppliedCommand, rows_before: RowsBefore) -> None:  # noqa: ARG002
-        """Check one command. (`rows_before` is a part of the interface of rules.)"""
+        """Check one command. `rows_before` is a part of the interface of rules."""
         for change in applied.changes:
             if change.octets is None:
                 continue
--- a/brookreach/simulation/mutation/value_mutators.py
+++ b/brookreach/simulation/mutation/value_mutators.py
@@ -99,10 +99,7 @@
         case inspect.BytesType():
             yield from _mutate_bytes(info, value)
         case inspect.LiteralType():
-            for choice in info.values:
-                if choice != value:
-                    yield _mutated(Family.OTHER_CHOICE, f"to {choice!r}", choice)
-            yield _mutated(Family.OUT_OF_BOUNDS, "to no word of it", "no word")
+            yield from _mutate_choice(info, value)
         case inspect.VarTupleType():
             yield from _mutate_list(types, info, value)
         case inspect.StructType():
@@ -111,6 +108,13 @@
             yield from _mutate_union(types, info, value)
 
 
+def _mutate_choice(info: inspect.LiteralType, value: Any) -> Iterator[MutatedValue]:
+    for choice in info.values:
+        if choice != value:
+            yield _mutated(Family.OTHER_CHOICE, f"to {choice!r}", choice)
+    yield _mutated(Family.OUT_OF_BOUNDS, "to no word of it", "no word")
+
+
 def _mutate_union(types: RecordTypes, info: inspect.UnionType, value: Any) -> Iterator[MutatedValue]:
     if value is None:
         if any(isinstance(member, inspect.BytesType) for member in info.types):
