--- a/brookreach/simulation/coordination/cluster_run.py
+++ b/brookreach/simulation/coordination/cluster_run.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
 
-from brookreach.coordination.ports import Timing
+from brookreach.coordination.timing import Timing
 from brookreach.simulation.coordination import sample_application
 from brookreach.simulation.coordination.client_script import SampleClientScript
 from brookreach.simulation.coordination.invariants import InvariantChecker
@@ -20,7 +20,14 @@
 from brookreach.simulation.engine.replica_process import SimulatedReplica
 from brookreach.simulation.engine.simulation import Simulation
 
-TIMING = Timing(beat_ms=50.0, election_ms=250.0, lease_ms=1000.0, drift=0.05, most_queued=256, cut_entries=40)
+TIMING = Timing(
+    heartbeat_ms=50.0,
+    election_timeout_ms=250.0,
+    lease_ms=1000.0,
+    drift=0.05,
+    max_pending_proposals=256,
+    snapshot_interval_entries=40,
+)
 FAULTS_END_MS = 6000  # all faults are over by then
 RECOVERY_MS = 6000  # after the faults: the group has to accept commands again, and all have to agree
 CHECK_INTERVAL_MS = 250
@@ -127,7 +134,7 @@
                 machine = process.replica.machine
                 self.checker.check_replica_state(now_ms, process.name, machine.applied, machine.view)
             elif isinstance(process, SimulatedClient) and process.applied_index():
-                cache = process.client.mirror
+                cache = process.client.cache
                 self.checker.check_cache(now_ms, process.name, cache.index, cache, process.tables)
 
     def _check_caught_up(self, index: int) -> None:
--- a/brookreach/simulation/coordination/invariants.py
+++ b/brookreach/simulation/coordination/invariants.py
@@ -115,7 +115,7 @@
                 history.proposals.setdefault((body.session, body.seq), ProposalRecord(body.body, at_ms))
             case messages.ReadRequest():
                 history.reads.setdefault(body.seq, PendingRead(body, self.last_acknowledged_index))
-            case messages.RequestVoteReply() if body.given and not body.trial:
+            case messages.RequestVoteReply() if body.vote_granted and not body.pre_vote:
                 self._check_promise(at_ms, Rule.ONE_VOTE_PER_TERM, source, body.term, target)
             case messages.AppendEntries() | messages.InstallSnapshot():
                 self._check_promise(at_ms, Rule.ONE_LEADER_PER_TERM, "the group", body.term, source)
@@ -171,7 +171,7 @@
         if entry is None or not entry.octets:
             return False
         logged = _log_record_decoder.decode(entry.octets)
-        return (logged.by, logged.body) == (client, proposal.body) and (logged.session, logged.seq) == (
+        return (logged.client, logged.body) == (client, proposal.body) and (logged.session, logged.seq) == (
             session,
             reply.seq,
         )
--- a/brookreach/simulation/coordination/pinned_reader.py
+++ b/brookreach/simulation/coordination/pinned_reader.py
@@ -5,8 +5,8 @@
 
 from __future__ import annotations
 
-from brookreach.coordination.ports import Timing
 from brookreach.coordination.protocol import messages
+from brookreach.coordination.timing import Timing
 from brookreach.simulation.engine.environment import Environment
 from brookreach.simulation.engine.process import SimulatedProcess
 from brookreach.simulation.engine.process_events import ConnectionLost, ProcessEvent, TimerFired
--- a/brookreach/simulation/coordination/sample_application.py
+++ b/brookreach/simulation/coordination/sample_application.py
@@ -72,7 +72,7 @@
 
     name = "toy"  # in every record of a drill's log
     version = 1
-    orders: Any = Add | Acquire | Release  # any: a union as msgspec decodes it
+    commands: Any = Add | Acquire | Release  # any: a union as msgspec decodes it
     tables: Mapping[str, type[Row]] = {MARKS: MarkRow, COUNTERS: CounterRow, LOCKS: LockRow}
 
     def apply(self, view: View, order: Add | Acquire | Release, context: Context) -> list[RowUpdate]:
--- a/brookreach/simulation/coordination/small_limits.py
+++ b/brookreach/simulation/coordination/small_limits.py
@@ -19,11 +19,11 @@
         chunk_bytes: The size of the parts in which a snapshot is sent.
         append_bytes: The most that entries of one message may have together.
     """
-    original = (log.TAIL, snapshot_transfer.MAX_SNAPSHOT_CHUNK_BYTES, log.MOST_BYTES)
-    log.TAIL = retained_entries
+    original = (log.RETAINED_ENTRIES, snapshot_transfer.MAX_SNAPSHOT_CHUNK_BYTES, log.MAX_APPEND_BYTES)
+    log.RETAINED_ENTRIES = retained_entries
     snapshot_transfer.MAX_SNAPSHOT_CHUNK_BYTES = chunk_bytes
-    log.MOST_BYTES = append_bytes
+    log.MAX_APPEND_BYTES = append_bytes
     try:
         yield
     finally:
-        log.TAIL, snapshot_transfer.MAX_SNAPSHOT_CHUNK_BYTES, log.MOST_BYTES = original
+        log.RETAINED_ENTRIES, snapshot_transfer.MAX_SNAPSHOT_CHUNK_BYTES, log.MAX_APPEND_BYTES = original
--- a/brookreach/simulation/engine/network.py
+++ b/brookreach/simulation/engine/network.py
@@ -9,6 +9,7 @@
 from collections import Counter
 from functools import partial
 
+from brookreach.coordination.errors import InvalidFrameError
 from brookreach.coordination.protocol import frames, messages
 from brookreach.coordination.protocol.tags import wire_name
 from brookreach.simulation.engine.connections import ConnectionTable, NetworkProcess
@@ -146,7 +147,7 @@
         try:
             opened = frames.open_frame(KEY, GROUP, target, frame.octets)
             self._check_sender(opened, receiver, frame.source)
-        except messages.InvalidFrameError as error:
+        except InvalidFrameError as error:
             self._on_rejection(receiver, frame, error)
             return
         self._observer.on_frame_received(self._queue.now_ms, frame.source, target, opened.body)
@@ -165,7 +166,7 @@
         state_changed = not receiver.is_running or state_digest(receiver.state()) != digest_before
         self.reaction = FrameReaction(replies=tuple(replies), state_changed=state_changed)
 
-    def _on_rejection(self, receiver: NetworkProcess, frame: FrameInTransit, error: messages.InvalidFrameError) -> None:
+    def _on_rejection(self, receiver: NetworkProcess, frame: FrameInTransit, error: InvalidFrameError) -> None:
         self.rejections[error.name] += 1
         self._trace.record(self._queue.now_ms, receiver.name, f"refused {error.name}")
         if frame.number == self._intercepted_frame:
@@ -178,7 +179,7 @@
             sender_is_replica = self._processes[source].is_replica
             allowed = messages.REPLICA_MESSAGES if sender_is_replica else messages.CLIENT_MESSAGES
         if not isinstance(frame.body, allowed) or frame.source != source:
-            raise messages.InvalidFrameError("not its to say", f"{frame.source}: {wire_name(frame.body)}")
+            raise InvalidFrameError("not its to say", f"{frame.source}: {wire_name(frame.body)}")
 
     # --- connections ---
 
--- a/brookreach/simulation/engine/ordered_tables.py
+++ b/brookreach/simulation/engine/ordered_tables.py
@@ -24,9 +24,9 @@
 
     def rows(self, table: str, prefix: str = "") -> list[tuple[str, Any]]:
         """Return the rows whose keys begin with `prefix`, in the order of their keys."""
-        return list(self.walk(table, prefix))
+        return list(self.iterate(table, prefix))
 
-    def walk(self, table: str, prefix: str = "") -> Iterator[tuple[str, Any]]:
+    def iterate(self, table: str, prefix: str = "") -> Iterator[tuple[str, Any]]:
         """Yield the same rows as `rows`, each only when it is asked for."""
         rows = self.tables.get(table)
         if rows is not None:
@@ -37,7 +37,7 @@
         """Return the number of rows of a table."""
         return len(self.tables.get(table, {}))
 
-    def take(self, updates: Iterable[RowUpdate]) -> None:
+    def apply_updates(self, updates: Iterable[RowUpdate]) -> None:
         """Apply updates in their order; an update without a row deletes it."""
         for update in updates:
             rows = self.tables.setdefault(update.table, SortedDict())
--- a/brookreach/simulation/engine/process.py
+++ b/brookreach/simulation/engine/process.py
@@ -13,8 +13,9 @@
 from functools import partial
 from typing import Any
 
-from brookreach.coordination.ports import StorageError, Timing
+from brookreach.coordination.errors import StorageError
 from brookreach.coordination.protocol import messages
+from brookreach.coordination.timing import Timing
 from brookreach.simulation.engine.clock import DriftingClock
 from brookreach.simulation.engine.disk import SimulatedCrashError
 from brookreach.simulation.engine.environment import Environment
--- a/brookreach/simulation/engine/process_timing.py
+++ b/brookreach/simulation/engine/process_timing.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from brookreach.coordination.ports import Timing
+from brookreach.coordination.timing import Timing
 
 
 def timing_of_process(timing: Timing) -> Timing:
--- a/brookreach/simulation/engine/replica_process.py
+++ b/brookreach/simulation/engine/replica_process.py
@@ -8,10 +8,11 @@
 import random
 from collections.abc import Sequence
 
-from brookreach.coordination.ports import Ready, Timing
 from brookreach.coordination.protocol import messages
+from brookreach.coordination.raft.types import Ready
 from brookreach.coordination.server.replica import Replica
 from brookreach.coordination.state_machine.application import Application
+from brookreach.coordination.timing import Timing
 from brookreach.simulation.engine import process_timing
 from brookreach.simulation.engine.disk import MemoryDisk
 from brookreach.simulation.engine.environment import Environment
@@ -73,14 +74,14 @@
         return self.replica.machine.applied
 
     def _next_wakeup_ms(self) -> float | None:
-        return self.replica.wake_ms()
+        return self.replica.next_wakeup_ms()
 
     def _on_time_passed(self) -> None:
-        self.replica.passed(self.now_ms(), self.wall_ms())
+        self.replica.tick(self.now_ms(), self.wall_ms())
         self._handle_ready()
 
     def _on_message(self, source: str, body: messages.Body) -> None:
-        self.replica.hear(self.now_ms(), self.wall_ms(), source, body)
+        self.replica.handle_message(self.now_ms(), self.wall_ms(), source, body)
         self._handle_ready()
 
     def _handle_ready(self) -> None:
@@ -93,7 +94,7 @@
                 self.send(target, body, save_ms)
             for entry in ready.apply:
                 self.environment.observer.on_entry_applied(self.true_now_ms, self.name, entry)
-            self.replica.taken(self.now_ms(), ready)
+            self.replica.advance(self.now_ms(), ready)
         raise BusyLoopError(f"{MAX_ROUNDS} rounds of ready and taken without an end")
 
     def _save(self, ready: Ready) -> float:
@@ -112,10 +113,10 @@
                 self.die("killed after a promise")
                 self._schedule_restart()
             case ConnectionClosed() if self.environment.network.connections.close(self.name, event):
-                self.replica.gone(self.now_ms(), event.client)
+                self.replica.client_disconnected(self.now_ms(), event.client)
                 self._handle_ready()
             case ConnectionReplaced():
-                self.replica.gone(self.now_ms(), event.client)
+                self.replica.client_disconnected(self.now_ms(), event.client)
                 self._handle_ready()
 
     def _schedule_restart(self) -> None:
@@ -129,7 +130,7 @@
         """Carry out a fault of the replica or of its disk."""
         match fault.kind:
             case FaultKind.TERMINATE if self.is_running:
-                self.replica.end(self.now_ms())
+                self.replica.shut_down(self.now_ms())
                 self._run_guarded(self._handle_ready)
             case FaultKind.DISK_FULL:
                 self.disk.is_full = True
--- a/brookreach/simulation/mutation/frame_mutators.py
+++ b/brookreach/simulation/mutation/frame_mutators.py
@@ -10,6 +10,7 @@
 import random
 from collections.abc import Callable, Iterable, Iterator, Sequence
 
+from brookreach.coordination.errors import InvalidFrameError
 from brookreach.coordination.protocol import frames, messages
 from brookreach.simulation.engine.links import GROUP, KEY, SentFrame, SubstituteFrame
 from brookreach.simulation.mutation.mutation import Family, Mutation
@@ -54,7 +55,7 @@
     octets = seal(content)
     try:
         body = frames.open_frame(KEY, GROUP, frame.target, octets).body
-    except messages.InvalidFrameError:
+    except InvalidFrameError:
         substitute = SubstituteFrame(octets, None, source=source)
         return Mutation(family, path, description, (substitute,), must_be_rejected=True)
     return Mutation(family, path, description, (SubstituteFrame(octets, body, source=source),))
--- a/brookreach/simulation/mutation/verdicts.py
+++ b/brookreach/simulation/mutation/verdicts.py
@@ -48,7 +48,9 @@
     "AskVote": TrustedFields(
         frozenset(("term", "last_index", "last_term")), "how new its log is, only the one who stands knows"
     ),
-    "Vote": TrustedFields(frozenset(("term", "trial", "given")), "whether it gave its vote, only the voter knows"),
+    "Vote": TrustedFields(
+        frozenset(("term", "pre_vote", "vote_granted")), "whether it gave its vote, only the voter knows"
+    ),
     "Append": TrustedFields(None, _FROM_LEADER),
     "Appended": TrustedFields(
         frozenset(("term", "ok", "index", "round")), "what is on its disk, only the follower knows"
@@ -138,5 +140,5 @@
         case messages.ProposeReply() | messages.AppendEntriesReply():
             return not body.ok
         case messages.RequestVoteReply():
-            return not body.given
+            return not body.vote_granted
     return False
