--- a/brookreach/scale/control_cluster.py
+++ b/brookreach/scale/control_cluster.py
@@ -28,8 +28,9 @@
 from brookreach.model.keepers_crowd import fleet
 from brookreach.scale.control_children import ChildFailed, HollowChild, Usage, usage
 from brookreach.scale.hollow_protocol import Figures
+from brookreach.simulation.processes.cluster_configuration import ClusterConfiguration
 from brookreach.simulation.processes.ports import PortAllocator
-from brookreach.simulation.processes.program import ClusterConfiguration, ProgramProcess, ProgramProcesses
+from brookreach.simulation.processes.program import ProgramProcess, ProgramProcesses
 from brookreach.simulation.processes.relay import Relay
 
 MOST_ZONES, FEW_ZONES, FEW_MARSHALS = 6, 2, 48  # a zone has one process of hollow marshals; few marshals, few zones
--- a/brookreach/simulation/disruption/observer_invariants.py
+++ b/brookreach/simulation/disruption/observer_invariants.py
@@ -13,7 +13,8 @@
 from brookreach.coordination.state_machine.application import View
 from brookreach.disruption.tables import HALT, NODES, PERMITS, HaltRow, PermitRow
 from brookreach.disruption.targets import OUT
-from brookreach.simulation.processes.application_drill import RESTART_MARKER, ProcessCluster
+from brookreach.simulation.processes.application_drill import ProcessCluster
+from brookreach.simulation.processes.process_logs import RESTART_MARKER
 
 GRACE_S, BACK_S = 0.25, 0.1  # rule 3; how far a log's line may be behind what it tells of
 ACT = re.compile(r"(\S+) (ready|draining|down), life (\d+), agreed at place (\d+)")
--- a/brookreach/simulation/processes/__init__.py
+++ b/brookreach/simulation/processes/__init__.py
@@ -1,4 +1,4 @@
-"""Real processes of the program on loopback: start and end, ports, and the relay that injects network faults.
+"""Drills between real processes of the program on loopback: starting and ending them, ports, a relay with faults.
 
 It owns the processes that it started and ends no other.
 """
--- a/tests/simulation/test_application_drills.py
+++ b/tests/simulation/test_application_drills.py
@@ -27,7 +27,7 @@
 from brookreach.simulation.disruption import observer_invariants
 from brookreach.simulation.disruption import process_drill as outages_processes
 from brookreach.simulation.gang_scheduling import file_invariants, process_drill
-from brookreach.simulation.processes.application_drill import RESTART_MARKER, LogLine
+from brookreach.simulation.processes.process_logs import RESTART_MARKER, LogLine
 from brookreach.simulation.report import require_report, run_concurrently
 
 PLAYS = {
