--- /dev/null
+++ b/brookreach/simulation/gang_scheduling/process_faults.py
@@ -0,0 +1,97 @@
+"""The faults of the drill between processes, by the names that its report prints."""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable, Callable, Mapping
+
+import anyio
+
+from brookreach.disruption import commands
+from brookreach.gang_scheduling.commands import ReconcileNode
+from brookreach.gang_scheduling.members import RELEASE_DELAY_MS
+from brookreach.simulation.gang_scheduling.gang_fleet import GangFleet
+from brookreach.simulation.gang_scheduling.node_log_invariants import Pause
+from brookreach.simulation.processes.application_drill import REPLICAS
+from brookreach.simulation.processes.operators import LEASE_S, PROGRESS_TIMEOUT_S
+from brookreach.simulation.processes.relay import ROUGH, Impairment
+
+NOTICE_LEAD_MS = 4_000
+MIGRATION_TIMEOUT_S = NOTICE_LEAD_MS / 1000.0 + PROGRESS_TIMEOUT_S
+LEADER_DOWN_S = 0.3
+REPLICAS_DOWN_S = 0.2
+PAST_LEASE_S = LEASE_S * 1.5
+RESTART_MARGIN_S = 4.0  # for others to start what a stopped agent's node ran
+INCARNATION_STEP_S = 1.1  # a node's incarnation is a second of the clock, so the next start is a later one
+ROUGH_LINKS_S = 1.5
+
+
+async def retire_node(fleet: GangFleet) -> None:
+    """Gives a node with members a notice; the leader is killed as it hears so. All have left before the time."""
+    cluster, operator, node = fleet.cluster, fleet.operator, fleet.random_node()
+    announced_ms = anyio.current_time() * 1000.0
+    notice = commands.AnnounceRetirement(node, fleet.cache.agreed_time_ms + NOTICE_LEAD_MS)
+    answer = await operator.request("outages", notice)
+    if answer is None or not answer.ok:
+        return
+    fleet.retired.append(node)
+    number = operator.submit("gangs", ReconcileNode(node))
+    await cluster.kill_and_restart([cluster.find_leader()], LEADER_DOWN_S)
+    await cluster.wait_until(lambda: number in operator.replies, "an operator hears what became of it")
+    if operator.replies[number] is None:
+        await operator.request("gangs", ReconcileNode(node))
+
+    def has_migrated() -> bool:
+        return node not in fleet.nodes_with_members() and fleet.are_running()
+
+    await cluster.wait_until(has_migrated, "a notice moves the gang", MIGRATION_TIMEOUT_S, fleet.describe)
+    fleet.left_by_ms[node] = announced_ms + NOTICE_LEAD_MS + LEASE_S * 1000.0
+
+
+async def stop_leader(fleet: GangFleet) -> None:
+    """Stops the leader's process past its lease."""
+    await fleet.cluster.pause(fleet.cluster.find_leader(), PAST_LEASE_S)
+
+
+async def stop_agent(fleet: GangFleet) -> None:
+    """Stops an agent past its lease: its members stop by themselves, and are started elsewhere only after that."""
+    node = fleet.random_node()
+    start_ms = anyio.current_time() * 1000.0
+    await fleet.cluster.pause(node, LEASE_S + RELEASE_DELAY_MS / 1000.0 + RESTART_MARGIN_S)
+    fleet.pauses[node].append(Pause(start_ms, anyio.current_time() * 1000.0))
+
+
+async def kill_agent(fleet: GangFleet) -> None:
+    """Kills an agent with all that it plays, and starts it again."""
+    node = fleet.random_node()
+    fleet.cluster.processes.by_name[node].kill()
+    fleet.kills_ms[node].append(anyio.current_time() * 1000.0)
+    await anyio.sleep(INCARNATION_STEP_S)
+    fleet.cluster.restart([node])
+
+
+async def cut_node_off(fleet: GangFleet) -> None:
+    """Loses what a node says, past its lease; what it is told is not lost."""
+    links = fleet.cluster.links_between([fleet.random_node()], REPLICAS)
+    await fleet.cluster.impair_links(links, PAST_LEASE_S, Impairment(cut=True))
+
+
+async def impair_all_links(fleet: GangFleet) -> None:
+    """Delays, doubles and changes messages of all links."""
+    links = list(fleet.cluster.relay.links.values())
+    await fleet.cluster.impair_links(links, ROUGH_LINKS_S, ROUGH)
+
+
+async def restart_replicas(fleet: GangFleet) -> None:
+    """Kills all replicas and starts them again."""
+    await fleet.cluster.kill_and_restart(REPLICAS, REPLICAS_DOWN_S)
+
+
+FAULTS: Mapping[str, Callable[[GangFleet], Awaitable[None]]] = {
+    "a node retires, the leader is killed": retire_node,
+    "leader stopped past its lease": stop_leader,
+    "an agent stopped until others start": stop_agent,
+    "an agent killed": kill_agent,
+    "a node's words cut off": cut_node_off,
+    "links delay, double, change": impair_all_links,
+    "all keepers restarted": restart_replicas,
+}
--- a/tests/simulation/message_examples.py
+++ b/tests/simulation/message_examples.py
@@ -20,6 +20,8 @@
             return rng.randbytes(rng.choice((0, 1, 9)))
         case inspect.LiteralType():
             return rng.choice(info.values)
+        case inspect.EnumType():
+            return rng.choice(list(info.cls))
         case inspect.VarTupleType() | inspect.ListType():
             length = rng.randint(info.min_length or 0, max(info.min_length or 0, 2))
             return tuple(example(info.item_type, rng) for _ in range(length))
