--- a/brookreach/simulation/coordination/invariants.py
+++ b/brookreach/simulation/coordination/invariants.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from brookreach.coordination.ports import LogRecord
 from brookreach.coordination.protocol import messages
+from brookreach.coordination.protocol.log_record import LogRecord
 from brookreach.coordination.state_machine.application import Application, View
 from brookreach.simulation.coordination.record_invariants import CommandRule
 from brookreach.simulation.coordination.reference_model import (
--- a/brookreach/simulation/coordination/record_invariants.py
+++ b/brookreach/simulation/coordination/record_invariants.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-from brookreach.coordination.ports import AppliedCommand
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.state_machine.application import Row
+from brookreach.coordination.state_machine.applied_command import AppliedCommand
 from brookreach.disruption import tables as disruption_tables
 from brookreach.simulation.coordination import sample_application
 from brookreach.simulation.coordination.reference_model import RowsBefore
--- a/brookreach/simulation/engine/replica_process.py
+++ b/brookreach/simulation/engine/replica_process.py
@@ -113,10 +113,10 @@
                 self.die("killed after a promise")
                 self._schedule_restart()
             case ConnectionClosed() if self.environment.network.connections.close(self.name, event):
-                self.replica.client_disconnected(self.now_ms(), event.client)
+                self.replica.client_disconnected(event.client)
                 self._handle_ready()
             case ConnectionReplaced():
-                self.replica.client_disconnected(self.now_ms(), event.client)
+                self.replica.client_disconnected(event.client)
                 self._handle_ready()
 
     def _schedule_restart(self) -> None:
--- a/brookreach/simulation/mutation/record_types.py
+++ b/brookreach/simulation/mutation/record_types.py
@@ -5,8 +5,8 @@
 from collections.abc import Mapping, Sequence
 from typing import Any
 
-from brookreach.coordination.ports import LogRecord
 from brookreach.coordination.protocol import messages
+from brookreach.coordination.protocol.log_record import LogRecord
 from brookreach.coordination.state_machine.application import Application
 from brookreach.coordination.state_machine.sessions import APPLICATION, COMMANDS
 
