--- a/brookreach/simulation/carbon_aware/defects.py
+++ b/brookreach/simulation/carbon_aware/defects.py
@@ -11,7 +11,7 @@
 from brookreach.carbon_aware.placement_request import PlacementRequest
 from brookreach.carbon_aware.tables import ACTIVE_KEY, ACTIVE_SCHEDULE, SCHEDULE_DRAFTS, SLOT_MS, ActiveScheduleRow
 from brookreach.coordination.state_machine.application import View
-from brookreach.simulation.defect import Plants
+from brookreach.simulation.defect import Defect, Defects
 
 SLOTS_PER_DAY = 96
 
@@ -84,10 +84,10 @@
     return parse_as_utc
 
 
-DEFECTS: Plants = {
-    "uncounted": (placement_request, "capacity_reserved_by_others", _ignore_reservations),
-    "half-sent": (cost_curve, "active_schedule", _use_drafts),
-    "expired": (scheduler, "cost_curve", _never_expire),
-    "restless": (scheduler, "PlacementRequest", _ignore_minimum_run),
-    "offset-ignored": (schedule_file, "parse_time", _ignore_offsets),
+DEFECTS: Defects = {
+    "uncounted": Defect(placement_request, "capacity_reserved_by_others", _ignore_reservations),
+    "half-sent": Defect(cost_curve, "active_schedule", _use_drafts),
+    "expired": Defect(scheduler, "cost_curve", _never_expire),
+    "restless": Defect(scheduler, "PlacementRequest", _ignore_minimum_run),
+    "offset-ignored": Defect(schedule_file, "parse_time", _ignore_offsets),
 }
--- a/brookreach/simulation/disruption/fleet_drain.py
+++ b/brookreach/simulation/disruption/fleet_drain.py
@@ -21,7 +21,7 @@
 from brookreach.disruption import commands, queue
 from brookreach.disruption.states import PermitState, TargetKind, TargetStatus
 from brookreach.disruption.tables import PERMITS, PermitRow
-from brookreach.simulation.defect import Plants, planted
+from brookreach.simulation.defect import Defect, Defects, inject_defect
 from brookreach.simulation.disruption.errors import CommandNotAcceptedError, OpenPermitsError
 from brookreach.simulation.disruption.sequential_group import AppliedStep, SequentialGroup
 
@@ -34,7 +34,7 @@
 MEDIAN_OUTAGE_LOG_MS = 11.0  # a minute
 RECORDS_PER_NODE = 3
 URGENCY = 5
-BY_AGE_ALONE: Plants = {"by age": (queue, "_queue_loads", lambda _original: lambda *_: {})}
+BY_AGE_ALONE: Defects = {"by age": Defect(queue, "_queue_loads", lambda _original: lambda *_: {})}
 
 
 @dataclass(frozen=True)
@@ -156,7 +156,7 @@
     for order, plant in (("as built", ""), ("by age alone", "by age")):
         for shuffled in (False, True):
             began = time.process_time()
-            with planted(BY_AGE_ALONE, plant):
+            with inject_defect(BY_AGE_ALONE, plant):
                 ratios = [drain_time_ratios(seed, nodes, shuffled, sigma) for seed in range(1, seeds + 1)]
             record_ms = (time.process_time() - began) * 1000 / seeds / (RECORDS_PER_NODE * nodes)
             requested = "asked by chance" if shuffled else "asked zone by zone"
--- a/brookreach/simulation/disruption/sequential_group.py
+++ b/brookreach/simulation/disruption/sequential_group.py
@@ -15,7 +15,7 @@
     RowUpdate,
 )
 from brookreach.disruption.application import APPLICATION
-from brookreach.simulation.engine.ordered_tables import Ordered
+from brookreach.simulation.engine.ordered_tables import OrderedTables
 
 
 def snapshot_tables(tables: Mapping[str, type[Row]]) -> Mapping[str, type[Row]]:
@@ -52,7 +52,7 @@
     """The agreed state, and what changes it. `on_step` is called with each step after the state has it."""
 
     def __init__(self, on_step: Callable[[AppliedStep], None] = _ignore_step):
-        self.view = Ordered()
+        self.view = OrderedTables()
         self.index = 0
         self.now_ms = 0
         self.on_step = on_step
@@ -101,7 +101,7 @@
 
     def restore_from_snapshot(self) -> None:
         """Another replica goes on from what this one wrote."""
-        restored = Ordered()
+        restored = OrderedTables()
         for table, row_type in snapshot_tables(APPLICATION.tables).items():
             for key, row in self.view.rows(table):
                 copy = msgspec.msgpack.decode(msgspec.msgpack.encode(row), type=row_type)
--- a/brookreach/simulation/gang_scheduling/gang_fleet.py
+++ b/brookreach/simulation/gang_scheduling/gang_fleet.py
@@ -9,7 +9,7 @@
 from brookreach.gang_scheduling.gang_state import FINAL_STATES, GangState
 from brookreach.gang_scheduling.tables import AGENTS, GANGS, MEMBERS, GangRow
 from brookreach.simulation.gang_scheduling.node_log_invariants import Pause
-from brookreach.simulation.processes.application_drill import Town
+from brookreach.simulation.processes.application_drill import ProcessCluster
 from brookreach.simulation.processes.operators import Operator
 
 
@@ -30,7 +30,7 @@
         left_by_ms: When the last work of nodes that retired is over.
     """
 
-    cluster: Town
+    cluster: ProcessCluster
     operator: Operator
     nodes: list[str]
     may_wait: Callable[[GangRow], bool]
@@ -74,7 +74,7 @@
     def random_node(self) -> str:
         """Returns a node with members that has no notice; any, where there is none."""
         candidates = sorted(set(self.nodes_with_members()) - {"", *self.retired})
-        return self.cluster.chance.choice(candidates or self.nodes)
+        return self.cluster.rng.choice(candidates or self.nodes)
 
     def describe(self) -> str:
         """Returns how it stands, for a violation."""
--- a/brookreach/simulation/gang_scheduling/replicated_state.py
+++ b/brookreach/simulation/gang_scheduling/replicated_state.py
@@ -15,7 +15,7 @@
 from brookreach.gang_scheduling.commands import Commands
 from brookreach.gang_scheduling.gang_state import GangState, check_transition
 from brookreach.gang_scheduling.tables import GANGS, MEMBERS, GangRow
-from brookreach.simulation.engine.ordered_tables import Ordered
+from brookreach.simulation.engine.ordered_tables import OrderedTables
 from brookreach.simulation.gang_scheduling.event_queue import EventQueue
 from brookreach.simulation.gang_scheduling.ground_truth import CLOCK_DRIFT, GroundTruth, PermitSpan, SessionEnd
 
@@ -73,7 +73,7 @@
             on_tasks_changed: Called with a gang's name where its nodes' tasks may have changed.
         """
         self.application = application
-        self.view = Ordered()
+        self.view = OrderedTables()
         self.granted_permits: dict[str, GrantedPermit] = {}
         self.log_index = 0
         self._events = events
--- a/brookreach/simulation/subsetting/invariants.py
+++ b/brookreach/simulation/subsetting/invariants.py
@@ -109,14 +109,14 @@
 
     def check_settled(self, balancer: Balancer, services: set[str], placed: set[str], now_ms: int) -> None:
         """Checks that a balancer serves exactly what the agreed view places on it, within its caps."""
-        self._report.looked("agreement")
+        self._report.record_check("agreement")
         if services != placed:
             text = f"{balancer.name} serves {sorted(services)}, placed on it are {sorted(placed)}"
-            self._report.broken(Violation("agreement", balancer.name, self._seed, now_ms, text))
+            self._report.add_violation(Violation("agreement", balancer.name, self._seed, now_ms, text))
         self._check_caps(balancer, services, now_ms)
 
     def _check_caps(self, balancer: Balancer, services: set[str], now_ms: int) -> None:
-        self._report.looked("caps")
+        self._report.record_check("caps")
         caps = self._settings.caps
         rows = [self._tracked[name].service for name in services if name in self._tracked]
         amounts = {
@@ -128,7 +128,7 @@
         for kind, (amount, cap) in amounts.items():
             if amount > cap * balancer.weight:
                 text = f"{balancer.name} holds {amount} {kind}, {cap * balancer.weight} are allowed"
-                self._report.broken(Violation("caps", balancer.name, self._seed, now_ms, text))
+                self._report.add_violation(Violation("caps", balancer.name, self._seed, now_ms, text))
 
     def _check_service(self, tracked: TrackedService, now_ms: int) -> None:
         required = self._settings.spread.balancers
@@ -139,7 +139,7 @@
             if is_late and not tracked.covered:
                 self._check_new_service(tracked, now_ms)
             return
-        self._report.looked("coverage")
+        self._report.record_check("coverage")
         excused = sum(1 for lost_ms in tracked.lost.values() if now_ms - lost_ms <= self._excuse_ms)
         if count + excused < required:
             text = f"{count} marshals serve it, {required} are the least, {excused} died lately"
@@ -149,18 +149,18 @@
         """A new service may be placed on balancers that died lately, though they never served it."""
         died = {name for name, died_ms in self._died_ms.items() if now_ms - died_ms <= self._excuse_ms}
         count = len(tracked.serving)
-        self._report.looked("new service")
+        self._report.record_check("new service")
         if count + len(died - tracked.serving) < self._settings.spread.balancers:
             self._add_violation("new service", tracked, now_ms, f"{count} serve it after {SERVED_WITHIN_MS} ms")
 
     def _check_stillness(self, balancer: str, services: set[str], now_ms: int) -> None:
         if self._allowed_while_still is None:
             return
-        self._report.looked("stillness")
+        self._report.record_check("stillness")
         acquired = services - self._allowed_while_still.get(balancer, set())
         if acquired:
             text = f"{balancer} took it on while others restarted"
             self._add_violation("stillness", self._tracked[min(acquired)], now_ms, text)
 
     def _add_violation(self, rule: str, tracked: TrackedService, now_ms: int, text: str) -> None:
-        self._report.broken(Violation(rule, tracked.service.name, self._seed, now_ms, text))
+        self._report.add_violation(Violation(rule, tracked.service.name, self._seed, now_ms, text))
