--- a/brookreach/simulation/gang_scheduling/cluster_model.py
+++ b/brookreach/simulation/gang_scheduling/cluster_model.py
@@ -55,6 +55,7 @@
     """A cluster; a `ports.Cluster` for its nodes.
 
     Attributes:
+        events: Virtual time.
         random: All chance of the run.
         truth: What truly happened.
         lease_ms: Of agents' sessions.
@@ -70,9 +71,9 @@
         self.lease_ms = settings.lease_ms
         self.has_faults = settings.has_faults
         self.nodes: dict[str, NodeModel] = {}
-        self._events = EventQueue()
+        self.events = EventQueue()
         application = GangSchedulingApplication(PermitBudget(settings.max_migrations))
-        self.state = ReplicatedState(application, self._events, self.truth, self.lease_ms, self._send_tasks)
+        self.state = ReplicatedState(application, self.events, self.truth, self.lease_ms, self._send_tasks)
         self._poll_ms = settings.poll_ms
         self._polls = 0
         self.schedule(self._poll_ms, self._poll)
@@ -82,15 +83,15 @@
     @property
     def now_ms(self) -> float:
         """The cluster's clock."""
-        return self._events.now_ms
+        return self.events.now_ms
 
     def schedule(self, delay_ms: float, callback: Callable[..., object], *arguments: object) -> None:
         """Calls back after a delay."""
-        self._events.schedule(delay_ms, callback, *arguments)
+        self.events.schedule(delay_ms, callback, *arguments)
 
     def run(self, until_ms: float) -> None:
         """Runs up to a moment."""
-        self._events.run(until_ms)
+        self.events.run(until_ms)
 
     def link_delay_ms(self) -> float:
         """Returns the delay of the next message one way; now and then it is much later than others."""
--- a/brookreach/simulation/gang_scheduling/node_model.py
+++ b/brookreach/simulation/gang_scheduling/node_model.py
@@ -31,6 +31,7 @@
 
     def __init__(self, cluster: Cluster, name: str, clock_rate: float) -> None:
         self._cluster = cluster
+        self._events = cluster.events
         self.name = name
         self.clock_rate = clock_rate
         self._is_up = False
@@ -44,7 +45,7 @@
 
     def clock_ms(self) -> float:
         """Returns the time of the node's clock."""
-        return self._cluster.now_ms * self.clock_rate
+        return self._events.now_ms * self.clock_rate
 
     # --- machine and process ---
 
@@ -79,11 +80,11 @@
             self._agent = None
             self.process += 1
             registration_delay_ms = self._cluster.lease_ms * (1 + CLOCK_DRIFT)
-            self._cluster.schedule(AGENT_RESTART_MS, self._start_agent, registration_delay_ms)
+            self._events.schedule(AGENT_RESTART_MS, self._start_agent, registration_delay_ms)
 
     def stall_agent(self, span_ms: float) -> None:
         """Stops the agent's process for a while."""
-        self._stalled_until_ms = max(self._stalled_until_ms, self._cluster.now_ms + span_ms)
+        self._stalled_until_ms = max(self._stalled_until_ms, self._events.now_ms + span_ms)
 
     def hang_loads(self, span_ms: float) -> None:
         """Lets no restore end for a while."""
@@ -97,10 +98,10 @@
         """Calls when the process runs: a stopped one finds the call when it wakes, one that is gone never."""
         if process != self.process or self._agent is None:
             return
-        now_ms = self._cluster.now_ms
+        now_ms = self._events.now_ms
         if now_ms < self._stalled_until_ms:
             delay_ms = self._stalled_until_ms - now_ms
-            self._cluster.schedule(delay_ms, self._call_agent, process, callback, *arguments)
+            self._events.schedule(delay_ms, self._call_agent, process, callback, *arguments)
             return
         self._agent.check_lease(self.clock_ms())
         callback(self._agent, *arguments)
@@ -111,7 +112,7 @@
     def _beat(self, process: int) -> None:
         if process == self.process:
             self._call_agent(process, self._renew)
-            self._cluster.schedule(self._cluster.lease_ms / RENEWALS_PER_LEASE, self._beat, process)
+            self._events.schedule(self._cluster.lease_ms / RENEWALS_PER_LEASE, self._beat, process)
 
     def _renew(self, agent: GangAgent) -> None:
         cluster = self._cluster
@@ -119,19 +120,21 @@
             self._session = 0
             self._is_registered = False
         delay_ms = cluster.link_delay_ms()
-        cluster.schedule(delay_ms, self._renewal_received, self.process, self._session, self.clock_ms())
+        self._events.schedule(delay_ms, self._renewal_received, self.process, self._session, self.clock_ms())
         if agent.may_register(self.clock_ms()) and not self._is_registered:
             delay_ms = cluster.link_delay_ms()
-            cluster.schedule(delay_ms, self._registration_received, self.process, self._session, agent.registration())
+            self._events.schedule(
+                delay_ms, self._registration_received, self.process, self._session, agent.registration()
+            )
 
     def _renewal_received(self, process: int, session: int, sent_ms: float) -> None:
         """Renews the session at the replicas, which answer."""
         renewed = self._cluster.renew_session(self.name, session)
         delay_ms = self._cluster.link_delay_ms()
         if renewed is None:
-            self._cluster.schedule(delay_ms, self._call_agent, process, self._on_session_lost, session)
+            self._events.schedule(delay_ms, self._call_agent, process, self._on_session_lost, session)
         else:
-            self._cluster.schedule(delay_ms, self._call_agent, process, self._on_renewed, renewed, sent_ms)
+            self._events.schedule(delay_ms, self._call_agent, process, self._on_renewed, renewed, sent_ms)
 
     def _registration_received(self, process: int, session: int, command: RegisterAgent) -> None:
         if process == self.process and self._cluster.propose(self.name, "agent", session, command) is None:
@@ -170,4 +173,6 @@
         for report in reports:
             is_lost = cluster.has_faults and cluster.random.random() < LOST_REPORT_PROBABILITY
             if not is_lost:
-                cluster.schedule(cluster.link_delay_ms(), cluster.propose, self.name, "agent", agent.session, report)
+                self._events.schedule(
+                    cluster.link_delay_ms(), cluster.propose, self.name, "agent", agent.session, report
+                )
