--- a/brookreach/gang_scheduling/agent/process.py
+++ b/brookreach/gang_scheduling/agent/process.py
@@ -26,7 +26,7 @@
 from brookreach.coordination.clock import now_ms
 from brookreach.coordination.protocol.tags import wire_name
 from brookreach.coordination.state_machine.application import Command
-from brookreach.disruption.node_agent import Agent, Facts, Say
+from brookreach.disruption.node_agent import NodeAgent, NodeDescription, WriteLine
 from brookreach.gang_scheduling.agent.agent import GangAgent
 from brookreach.gang_scheduling.agent.node_log import NodeLog
 from brookreach.gang_scheduling.agent.workload_simulator import WorkloadSimulator
@@ -41,11 +41,16 @@
 REGISTRATION_DELAY_LEASES = 1.25  # after the process's start, before it registers
 
 
-class GangAgentProcess(Agent):
+class GangAgentProcess(NodeAgent):
     """A node's agent that also carries out the tasks of gang scheduling."""
 
     def __init__(
-        self, facts: Facts, settings: configuration.ClusterConfiguration, key: bytes, say: Say, log: NodeLog
+        self,
+        facts: NodeDescription,
+        settings: configuration.ClusterConfiguration,
+        key: bytes,
+        say: WriteLine,
+        log: NodeLog,
     ) -> None:
         """Starts without a session.
 
@@ -59,7 +64,7 @@
         tables = {name: APPLICATION.tables[name] for name in WATCHED_TABLES}
         super().__init__(facts, settings, key, None, say, tables)
         registration_delay_ms = settings.timing.lease_ms * REGISTRATION_DELAY_LEASES
-        self._agent = GangAgent(facts.name, self.life, now_ms(), registration_delay_ms)
+        self._agent = GangAgent(facts.name, self.incarnation, now_ms(), registration_delay_ms)
         self._simulator = WorkloadSimulator(self._agent, log, self._find_gang)
         self._proposed: dict[int, Command] = {}  # by sequence number, until they are answered
         self._registered_session = 0
@@ -118,12 +123,12 @@
         if event.ok and isinstance(command, RegisterAgent):
             self._registered_session = self.client.session
         elif not event.ok:
-            self.say(f"{self.facts.name} {wire_name(command)}, refused: {event.text}")
+            self.write_line(f"{self.description.name} {wire_name(command)}, refused: {event.text}")
 
     def _read_tasks(self) -> None:
         at_ms = now_ms()
         self._read_tasks_ms = at_ms + REPEAT_INTERVAL_MS
-        for task in tasks_for_node(self.client.cache, self.facts.name):
+        for task in tasks_for_node(self.client.cache, self.description.name):
             self._agent.handle_task(at_ms, task)
         self._flush()
 
@@ -141,14 +146,14 @@
         if self.client.session:
             with contextlib.suppress(TooManyRequestsError, SessionNotHeldError):
                 self._proposed[self.client.propose(now_ms(), APPLICATION.name, command)] = command
-            self.dial.wake()
+            self.connection.wake()
 
     def _find_gang(self, name: str) -> GangRow | None:
         row: GangRow | None = self.client.cache.get(GANGS, name)
         return row
 
 
-async def run_agents(path: Path, nodes: Sequence[Facts], capacity: int, folder: Path, say: Say) -> None:
+async def run_agents(path: Path, nodes: Sequence[NodeDescription], capacity: int, folder: Path, say: WriteLine) -> None:
     """Runs the agents of nodes until cancelled.
 
     Args:
@@ -168,5 +173,5 @@
         async with anyio.create_task_group() as tasks:
             for facts in nodes:
                 log = logs.enter_context(NodeLog(folder / f"{facts.name}.jsonl"))
-                process = GangAgentProcess(replace(facts, room=capacity), settings, key, say, log)
+                process = GangAgentProcess(replace(facts, capacity=capacity), settings, key, say, log)
                 tasks.start_soon(process.run)
--- a/brookreach/gang_scheduling/placement.py
+++ b/brookreach/gang_scheduling/placement.py
@@ -13,6 +13,7 @@
 from sortedcontainers import SortedKeyList
 
 from brookreach.coordination.state_machine.application import View
+from brookreach.disruption.states import TargetStatus
 from brookreach.disruption.tables import NODES, RELEASES, NodeRow
 from brookreach.gang_scheduling.tables import AGENTS, RESERVED_CAPACITY, AgentRow, GangRow, ReservedCapacityRow
 
@@ -43,7 +44,7 @@
 
 def is_schedulable(row: NodeRow | None, now_ms: int, end_ms: int) -> bool:
     """Returns whether a node is fit for work that ends at `end_ms`; capacity and agents are not looked at."""
-    if row is None or row.standing != "ready" or row.warm_ms > now_ms:
+    if row is None or row.status != TargetStatus.READY or row.warm_since_ms > now_ms:
         return False
     return not row.retires_ms or row.retires_ms > min(end_ms, now_ms + HORIZON_MS)
 
@@ -61,8 +62,8 @@
     caps = {}
     for _, row in view.rows(RELEASES):
         if row.state in TRIAL_STATES:
-            is_open = row.state == "on" and 0 < row.stage <= len(row.caps)
-            caps[row.build] = row.caps[row.stage - 1] if is_open else 0
+            is_open = row.state == "on" and 0 < row.stage <= len(row.traffic_caps)
+            caps[row.build] = row.traffic_caps[row.stage - 1] if is_open else 0
     return caps
 
 
@@ -70,9 +71,9 @@
     """Returns how many of the gang's members would fit if nothing else ran."""
     members = nodes = 0
     for _, node in view.rows(NODES):
-        if node.standing != "gone" and is_allowed(row, node.zone, node.build):
-            members += node.room // row.member_capacity
-            nodes += node.room >= row.member_capacity
+        if node.status != TargetStatus.DECOMMISSIONED and is_allowed(row, node.zone, node.build):
+            members += node.capacity // row.member_capacity
+            nodes += node.capacity >= row.member_capacity
     return EmptyClusterCapacity(members, nodes)
 
 
@@ -133,11 +134,11 @@
         if row.build in self._reserved_on_trial:
             self._reserved_on_trial[row.build] += reserved
         agent: AgentRow | None = view.get(AGENTS, name)
-        if agent is None or not agent.session or agent.node_incarnation != row.life:
+        if agent is None or not agent.session or agent.node_incarnation != row.incarnation:
             return
         if not is_schedulable(row, self.now_ms, self.now_ms):
             return
-        node = NodeCapacity(name, row.life, row.zone, row.build, row.room - reserved, row.retires_ms)
+        node = NodeCapacity(name, row.incarnation, row.zone, row.build, row.capacity - reserved, row.retires_ms)
         self.nodes[name] = node
         if node.retires_ms:
             self.retiring.append(node)
--- a/brookreach/gang_scheduling/recovery.py
+++ b/brookreach/gang_scheduling/recovery.py
@@ -123,7 +123,7 @@
     for number, member in transaction.members_of(name).items():
         active = members.active_incarnation(member)
         node = transaction.node(active.node) if active else None
-        if active is None or node is None or node.life <= active.node_incarnation:
+        if active is None or node is None or node.incarnation <= active.node_incarnation:
             continue
         if member.state == MemberState.FENCING:
             release_member(transaction, name, number)
--- a/brookreach/gang_scheduling/timers.py
+++ b/brookreach/gang_scheduling/timers.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from brookreach.coordination.state_machine.application import StagedChanges, View
-from brookreach.disruption.internal_tables import first, ordered
+from brookreach.disruption.internal_tables import first_row, iterate_rows
 from brookreach.gang_scheduling.tables import RECONCILE_TIMES, TIMERS, ReconcileTimeRow, TimerRow
 from brookreach.gang_scheduling.totals import read_totals, set_next_round
 
@@ -48,14 +48,14 @@
 
 def next_timer_ms(view: View) -> int | None:
     """Returns the moment of the first timer; None where there is none."""
-    entry = first(view, TIMERS)
+    entry = first_row(view, TIMERS)
     return None if entry is None else _moment_ms(entry[0])
 
 
 def expired_timers(view: View, now_ms: int) -> list[Timer]:
     """Returns the timers whose moment has come, in order."""
     due: list[Timer] = []
-    for key, row in ordered(view, TIMERS):
+    for key, row in iterate_rows(view, TIMERS):
         if _moment_ms(key) > now_ms:
             break
         if row.name == PLACEMENT_ROUND:
--- a/brookreach/simulation/gang_scheduling/baseline_policies.py
+++ b/brookreach/simulation/gang_scheduling/baseline_policies.py
@@ -8,6 +8,7 @@
 from types import ModuleType
 from typing import Any
 
+from brookreach.disruption.states import TargetStatus
 from brookreach.disruption.tables import NodeRow
 from brookreach.gang_scheduling import departures, migration, placement
 from brookreach.gang_scheduling.migration import Step, StepKind
@@ -50,7 +51,7 @@
 
 def _any_ready(_right: Callable[..., bool]) -> Callable[..., bool]:
     def is_schedulable(row: NodeRow | None, _now_ms: int, _end_ms: int) -> bool:
-        return row is not None and row.standing == "ready"
+        return row is not None and row.status == TargetStatus.READY
 
     return is_schedulable
 
--- a/brookreach/simulation/gang_scheduling/process_drill.py
+++ b/brookreach/simulation/gang_scheduling/process_drill.py
@@ -16,6 +16,7 @@
 
 from brookreach.disruption import commands
 from brookreach.disruption.application import APPLICATION as DISRUPTION
+from brookreach.disruption.states import TargetKind
 from brookreach.disruption.tables import NODES
 from brookreach.gang_scheduling.application import APPLICATION
 from brookreach.gang_scheduling.commands import SubmitGang
@@ -136,7 +137,7 @@
             cluster.began = anyio.current_time()
             tasks.start_soon(cluster.listen)
             tasks.start_soon(self.operator.dial.run)
-            budget = commands.SetBudgets((commands.BudgetFor("node", "all", MAX_MIGRATIONS, 0),))
+            budget = commands.SetBudgets((commands.BudgetEntry(TargetKind.NODE, "all", MAX_MIGRATIONS, 0),))
             await self.operator.agreed("outages", budget, START_S)
             if await cluster.until(fleet.are_agents_registered, "the town begins", START_S, fleet.describe):
                 await self.run_background_work(tasks)
