--- a/brookreach/cli/fleet.py
+++ b/brookreach/cli/fleet.py
@@ -162,8 +162,7 @@
     view = await client.read_view()
     cache = client.client.cache
     tables = {
-        table: {row_key: wire_fields(row) for row_key, row in view.rows(table)}
-        for table in sorted(cache.watched)
+        table: {row_key: wire_fields(row) for row_key, row in view.rows(table)} for table in sorted(cache.watched)
     }
     return {"leader": client.leader, "index": cache.index, "at_ms": cache.agreed_time_ms, "tables": tables}
 
