--- a/brookreach/cli/fleet.py
+++ b/brookreach/cli/fleet.py
@@ -184,7 +184,7 @@
 @WAIT_OPTION
 def seats(file: Path, way: Literal["add", "remove"], keeper: str, wait: float) -> None:
     """Give the KEEPER a seat, or take it away. One at a time; each must have come along before the next."""
-    from brookreach.coordination.server.proposals import ChangeMembership
+    from brookreach.coordination.server.membership_commands import ChangeMembership
     from brookreach.coordination.state_machine.sessions import MEMBERSHIP
 
     OperatorSession(file, wait).propose(MEMBERSHIP, ChangeMembership(way, keeper))
--- a/brookreach/gang_scheduling/carbon_placement.py
+++ b/brookreach/gang_scheduling/carbon_placement.py
@@ -8,9 +8,10 @@
 
 import zlib
 
-from brookreach.carbon_aware.reservations import from_slot, release, take
-from brookreach.carbon_aware.scheduler import Flexible, choose
-from brookreach.carbon_aware.tables import CURRENT, HOLDS, SLOT_MS, HoldRow
+from brookreach.carbon_aware.placement import FlexibleJob
+from brookreach.carbon_aware.reservations import release, reserve, upcoming_intervals
+from brookreach.carbon_aware.scheduler import choose_placement
+from brookreach.carbon_aware.tables import ACTIVE_SCHEDULE, RESERVATIONS, SLOT_MS, ReservationRow
 from brookreach.gang_scheduling import estimates
 from brookreach.gang_scheduling.gang_state import FINAL_STATES, GangState
 from brookreach.gang_scheduling.queue import ROUND_INTERVAL_MS, PlacementPreference
@@ -48,23 +49,23 @@
     One run of all the gang's work is planned: nothing pauses or moves a running gang for power, so a plan of several
     runs would reserve what never comes.
     """
-    if transaction.changes.get(CURRENT, SCHEDULE_KEY) is None:
+    if transaction.changes.get(ACTIVE_SCHEDULE, SCHEDULE_KEY) is None:
         return PlacementPreference((), transaction.now_ms)
     if not is_turn_of(transaction, name):
         return preference_as_reserved(transaction, name)
     job = _flexible_job(transaction, name, row)
-    choice = choose(transaction.changes, transaction.now_ms, job, free_by_zone(transaction))
-    updates = take(transaction.changes, transaction.now_ms, job.who, job.room, choice.spans)
+    choice = choose_placement(transaction.changes, transaction.now_ms, job, free_by_zone(transaction))
+    updates = reserve(transaction.changes, transaction.now_ms, job.holder, job.capacity, choice.intervals)
     transaction.changes.apply_updates(updates)
     if not choice.zone:
         return PlacementPreference((), transaction.now_ms)
-    return PlacementPreference((choice.zone,), choice.from_ms)
+    return PlacementPreference((choice.zone,), choice.start_ms)
 
 
-def _flexible_job(transaction: Transaction, name: str, row: GangRow) -> Flexible:
+def _flexible_job(transaction: Transaction, name: str, row: GangRow) -> FlexibleJob:
     migration_cost_ms = row.restore_cost_ms + row.checkpoint_cost_ms
     duration_ms = estimates.remaining_work_ms(row, transaction.now_ms) + migration_cost_ms
-    return Flexible(
+    return FlexibleJob(
         reservation_owner(name),
         row.member_count * row.member_capacity,
         duration_ms,
@@ -92,11 +93,11 @@
     It stays the same for the slot, and so does the reason that operators read.
     """
     slot = transaction.now_ms // SLOT_MS
-    held: HoldRow | None = transaction.changes.get(HOLDS, reservation_owner(name))
-    spans = from_slot(held.spans, slot) if held is not None else ()
-    if not spans:
+    held: ReservationRow | None = transaction.changes.get(RESERVATIONS, reservation_owner(name))
+    intervals = upcoming_intervals(held.intervals, slot) if held is not None else ()
+    if not intervals:
         return PlacementPreference((), (slot + 1) * SLOT_MS)
-    zone, first_slot, *_ = spans[0]
+    zone, first_slot, *_ = intervals[0]
     return PlacementPreference((zone,), max(transaction.now_ms, first_slot * SLOT_MS))
 
 
