--- a/brookreach/gang_scheduling/agent/process.py
+++ b/brookreach/gang_scheduling/agent/process.py
@@ -100,12 +100,12 @@
 
     # --- what the replicas say ---
 
-    def hear(self, event: ClientEvent) -> None:
+    def on_event(self, event: ClientEvent) -> None:
         """Takes an event of the client."""
         if isinstance(event, ReplyReceived | OutcomeUnknown) and event.seq in self._proposed:
             self._on_outcome(event)
             return
-        super().hear(event)
+        super().on_event(event)
         match event:
             case LeaseRenewed():
                 self._agent.on_lease_renewed(now_ms(), event.session, event.until_ms)
