--- a/brookreach/simulation/disruption/defects.py
+++ b/brookreach/simulation/disruption/defects.py
@@ -73,7 +73,7 @@
     return has_target_returned
 
 
-PLANTS: Plants = {
+DEFECTS: Defects = {
     "planned-only": Defect(targets, "is_unavailable", _ignore_unplanned_outages),
     "timed-out": Defect(permits, "set_overdue", _end_overdue_permits),
     "halt-forgotten": Defect(sequential_group, "snapshot_tables", _forget_halts_in_snapshots),
