--- a/tests/carbon_aware/test_application.py
+++ b/tests/carbon_aware/test_application.py
@@ -19,10 +19,11 @@
     SLOT_RESERVATIONS,
     SLOT_TOTALS,
 )
-from brookreach.coordination.ports import AppliedCommand, LogRecord
+from brookreach.coordination.protocol.log_record import LogRecord
 from brookreach.coordination.protocol.messages import Entry
 from brookreach.coordination.state_machine import sessions
 from brookreach.coordination.state_machine.application import CommandRejectedError, Context, InMemoryView
+from brookreach.coordination.state_machine.applied_command import AppliedCommand
 from brookreach.coordination.state_machine.machine import StateMachine
 from brookreach.simulation.carbon_aware import drill
 from tests.carbon_aware.harness import (
--- a/tests/test_shown_fields.py
+++ b/tests/test_shown_fields.py
@@ -5,8 +5,8 @@
 import unittest
 
 import msgspec
-from brookreach.cli.talked import tables
 
+from brookreach.cli.operator_session import watched_tables as tables
 from brookreach.coordination.protocol.tags import wire_fields
 
 
