--- a/brookreach/simulation/subsetting/drill.py
+++ b/brookreach/simulation/subsetting/drill.py
@@ -15,7 +15,7 @@
 from brookreach.simulation.defect import Plants, planted
 from brookreach.simulation.report import Report
 from brookreach.simulation.subsetting import fleet_model
-from brookreach.simulation.subsetting.fleet_model import FleetModel, generate_service
+from brookreach.simulation.subsetting.fleet_model import FleetModel
 from brookreach.simulation.subsetting.invariants import InvariantChecker
 from brookreach.subsetting import demand, handover
 from brookreach.subsetting.demand import Load
@@ -199,6 +199,17 @@
         self.fleet.hold_down.service_changed(service, self.fleet.clock.now_ms)
 
 
+def generate_service(random_source: random.Random, name: str) -> Service:
+    """Returns a service of random sizes."""
+    return Service(
+        name,
+        nodes=random_source.randint(1, 60),
+        routes=random_source.randint(1, 6),
+        tenants=random_source.randint(0, 90),
+        rpcs=random_source.randint(1, 300),
+    )
+
+
 def run(seed: int, seeds: int, plant: str = "", progress: Callable[[int, int], None] | None = None) -> Report:
     """Runs one fleet a seed.
 
--- a/brookreach/simulation/subsetting/fleet_model.py
+++ b/brookreach/simulation/subsetting/fleet_model.py
@@ -22,7 +22,7 @@
     LoadService,
     RequestFullView,
 )
-from brookreach.subsetting.fleet_view import Balancer, FleetView, Service, ViewChange, diff_views
+from brookreach.subsetting.fleet_view import Balancer, FleetView, ViewChange, diff_views
 from brookreach.subsetting.handover import SubsetHandover
 from brookreach.subsetting.hold_down import HoldDown
 from brookreach.subsetting.settings import Settings
@@ -244,14 +244,3 @@
 
     def _report_serving(self, process: BalancerProcess) -> None:
         self._checker.on_serving(process.balancer.name, set(process.handover.serving), self.clock.now_ms)
-
-
-def generate_service(random_source: random.Random, name: str) -> Service:
-    """Returns a service of random sizes."""
-    return Service(
-        name,
-        nodes=random_source.randint(1, 60),
-        routes=random_source.randint(1, 6),
-        tenants=random_source.randint(0, 90),
-        rpcs=random_source.randint(1, 300),
-    )
