--- /dev/null
+++ b/brookreach/simulation/subsetting/defects.py
@@ -0,0 +1,31 @@
+"""Known defects of subsetting that the drill's invariants have to find."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from msgspec import structs
+
+from brookreach.simulation.defect import Plants
+from brookreach.simulation.subsetting import fleet_model
+from brookreach.subsetting import demand, handover
+from brookreach.subsetting.demand import Load
+from brookreach.subsetting.hold_down import HoldDown
+from brookreach.subsetting.settings import Caps, Times
+
+
+def _ignore_caps(correct: Callable[[Caps, int], Load]) -> Callable[[Caps, int], Load]:
+    return lambda caps, weight: correct(caps, weight * 1000)
+
+
+def _skip_hold_down(correct: type[HoldDown]) -> Callable[[Times], HoldDown]:
+    return lambda times: correct(structs.replace(times, removal_hold_ms=0, join_hold_ms=0, resize_hold_ms=0))
+
+
+DEFECTS: Plants = {
+    "no-hold-down": (fleet_model, "HoldDown", _skip_hold_down),
+    "break-before-make": (handover, "may_drain", lambda _correct: lambda _missing: True),
+    "gap-taken-as-whole": (handover, "is_successor", lambda _correct: lambda _view, _change: True),
+    "cap-ignored": (demand, "capacity_limit", _ignore_caps),
+    "two-answers-are-enough": (handover, "may_drain", lambda _correct: lambda missing: len(missing) <= 4),
+}
--- a/brookreach/simulation/subsetting/drill.py
+++ b/brookreach/simulation/subsetting/drill.py
@@ -12,16 +12,13 @@
 
 from msgspec import structs
 
-from brookreach.simulation.defect import Plants, planted
+from brookreach.simulation.defect import planted
 from brookreach.simulation.report import Report
-from brookreach.simulation.subsetting import fleet_model
+from brookreach.simulation.subsetting.defects import DEFECTS
 from brookreach.simulation.subsetting.fleet_model import FleetModel
 from brookreach.simulation.subsetting.invariants import InvariantChecker
-from brookreach.subsetting import demand, handover
-from brookreach.subsetting.demand import Load
 from brookreach.subsetting.fleet_view import Balancer, Service
 from brookreach.subsetting.full_placement import place_services
-from brookreach.subsetting.hold_down import HoldDown
 from brookreach.subsetting.settings import Caps, Settings, Spread, Times
 
 SETTINGS = Settings(
@@ -234,23 +231,4 @@
     return report
 
 
-# --- injected defects ---
-
-
-def _ignore_caps(correct: Callable[[Caps, int], Load]) -> Callable[[Caps, int], Load]:
-    return lambda caps, weight: correct(caps, weight * 1000)
-
-
-def _skip_hold_down(correct: type[HoldDown]) -> Callable[[Times], HoldDown]:
-    return lambda times: correct(structs.replace(times, removal_hold_ms=0, join_hold_ms=0, resize_hold_ms=0))
-
-
-DEFECTS: Plants = {
-    "no-hold-down": (fleet_model, "HoldDown", _skip_hold_down),
-    "break-before-make": (handover, "may_drain", lambda _correct: lambda _missing: True),
-    "gap-taken-as-whole": (handover, "is_successor", lambda _correct: lambda _view, _change: True),
-    "cap-ignored": (demand, "capacity_limit", _ignore_caps),
-    "two-answers-are-enough": (handover, "may_drain", lambda _correct: lambda missing: len(missing) <= 4),
-}
-
 PLANTS = DEFECTS  # the name by which `brookreach drill` finds them
