--- a/brookreach/net/http.py
+++ b/brookreach/net/http.py
@@ -30,7 +30,7 @@
         return cls(await anyio.connect_tcp(*to), f"{to[0]}:{to[1]}")
 
     async def ask(self, method: str, target: str, body: bytes = b"") -> int:
-        """The answer's status; its body is read by `load_applications`."""
+        """The answer's status; its body is read by `pieces`."""
         headers = [("Host", self.host), ("Accept", "application/json")]
         if body:
             headers += [("Content-Type", "application/json"), ("Content-Length", str(len(body)))]
