--- a/tests/test_shown_fields.py
+++ b/tests/test_shown_fields.py
@@ -40,6 +40,14 @@
         shown = {name: " ".join(row.__struct_encode_fields__) for name, row in watched_tables().items()}
         self.assertEqual(shown, self.FIELDS)
 
+    def test_keys_outlive_renamed_attributes(self):
+        for table, row_type in watched_tables().items():
+            with self.subTest(table=table):
+                row = row_type(*range(len(row_type.__struct_fields__)))
+                expected = dict(zip(self.FIELDS[table].split(), range(100), strict=False))
+                self.assertEqual(expected, wire_fields(row))
+        self.assertEqual(set(self.FIELDS), set(watched_tables()))
+
     def test_values_are_printed_by_the_encoded_name(self):
         self.assertEqual(wire_fields(Example(3, "a")), {"room": 3, "zone": "a"})
 
