--- a/brookreach/cli/files.py
+++ b/brookreach/cli/files.py
@@ -176,7 +176,7 @@
         if "serve" in values:
             from brookreach.xds import config
 
-            return "a control service", msgspec.to_builtins(config.control(file, values))
+            return "a control service", msgspec.to_builtins(config.parse_configuration(file, values))
         if "group" in values:
             from brookreach.coordination import configuration as group
 
--- a/brookreach/cli/xds.py
+++ b/brookreach/cli/xds.py
@@ -24,11 +24,11 @@
     from brookreach.configuration import BadStart
     from brookreach.files import BadFile
     from brookreach.tls.errors import InvalidCredentialsError
-    from brookreach.xds.config import read
-    from brookreach.xds.service import Service
+    from brookreach.xds.config import read_configuration
+    from brookreach.xds.control_plane import ControlPlane
 
     try:
-        service = Service(file, read(file), partial(writer, log))
+        service = ControlPlane(file, read_configuration(file), partial(writer, log))
         anyio.run(service.run)
     except (BadStart, BadFile, InvalidCredentialsError, OSError) as error:
         raise click.ClickException(str(error)) from None
--- a/brookreach/xds/assign.py
+++ b/brookreach/xds/assign.py
@@ -21,20 +21,29 @@
 from brookreach import interface as ifc
 from brookreach.charts import on_trial, warmth
 from brookreach.decide import COLD_PART
-from brookreach.xds.records import Assignment, ClusterSet, Endpoint, NodeView, ProxyUse, RouteSet, Seat, View
+from brookreach.xds.records import (
+    Assignment,
+    BalancerView,
+    ClusterAssignment,
+    Endpoint,
+    MethodRoute,
+    NodeAddress,
+    NodeView,
+    ProxyLoad,
+)
 
-Z = 4.0  # of the normal: one window in 30,000 by chance, at the worst N
-EARLIER = "earlier"
+MAX_DEVIATIONS = 4.0  # of the normal: one window in 30,000 by chance, at the worst N
+EARLIER_CLUSTER = "earlier"
 
 
-MILLION = 1_000_000
+SHARE_DENOMINATOR = 1_000_000
 
 
 def cluster_name(build: int, trial: bool) -> str:
-    return f"build-{build}" if trial else EARLIER
+    return f"build-{build}" if trial else EARLIER_CLUSTER
 
 
-def safe_share(cap: float, free: float, least: float) -> float:
+def safe_trial_share(cap: float, free: float, least: float) -> float:
     """The share that keeps free + cap x N for all N of `least` RPCs a window and more, but for Z deviations.
 
     Free picks of 0 leave a share only where enough RPCs are known to come.
@@ -43,20 +52,20 @@
         return 0.0
     if cap >= 1.0:
         return 1.0
-    k = 4.0 * free / (Z * Z)
+    k = 4.0 * free / (MAX_DEVIATIONS * MAX_DEVIATIONS)
     share = cap * k / (1.0 + k)
     if least > 0.0:
-        # N p + Z root(N p) = free + cap N at N = least, for root(N p).
+        # N p + MAX_DEVIATIONS root(N p) = free + cap N at N = least, for root(N p).
         room = free + cap * least
-        root = 0.5 * (math.sqrt(Z * Z + 4.0 * room) - Z)
+        root = 0.5 * (math.sqrt(MAX_DEVIATIONS * MAX_DEVIATIONS + 4.0 * room) - MAX_DEVIATIONS)
         more = root * root / least
-        # The tightest N for a share p is p (Z / 2 (cap - p))^2: it holds where that is under least.
-        if more < cap and Z * math.sqrt(more) <= 2.0 * (cap - more) * math.sqrt(least):
+        # The tightest N for a share p is p (MAX_DEVIATIONS / 2 (cap - p))^2: it holds where that is under least.
+        if more < cap and MAX_DEVIATIONS * math.sqrt(more) <= 2.0 * (cap - more) * math.sqrt(least):
             share = max(share, more)
     return min(cap, share)
 
 
-def told_share(want: float, proxies: Mapping[str, ProxyUse]) -> float:
+def compensated_share(want: float, proxies: Mapping[str, ProxyLoad]) -> float:
     """What proxies that are up to date may have, so that with what others may still use the whole is `want`.
 
     A proxy that has not ACKed a lower share is taken at the largest that it was ever told since.
@@ -64,36 +73,36 @@
     total = math.fsum(use.rpcs_per_s for use in proxies.values())
     if want <= 0.0 or total <= 0.0:
         return max(0.0, want)
-    behind = {name: use for name, use in proxies.items() if use.shares and max(use.shares) > want}
+    behind = {name: use for name, use in proxies.items() if use.trial_shares and max(use.trial_shares) > want}
     if not behind:
         return want
-    used = math.fsum(use.rpcs_per_s * max(use.shares) for use in behind.values())
+    used = math.fsum(use.rpcs_per_s * max(use.trial_shares) for use in behind.values())
     rest = total - math.fsum(use.rpcs_per_s for use in behind.values())
     return max(0.0, min(want, (want * total - used) / rest)) if rest > 0.0 else 0.0
 
 
-def weight_of(view: NodeView, now: float, guards: ifc.Guards) -> float:
+def endpoint_weight(view: NodeView, now: float, guards: ifc.Guards) -> float:
     """What a node can do beside others: size and warmth, less with doubt and slowness; 0: not to be used."""
     if view.entry.state != ifc.NodeState.READY or view.doubt >= 1.0:
         return 0.0
     return view.entry.size * warmth(view.entry, now, guards) * (1.0 - view.doubt) / max(1.0, view.slow)
 
 
-def cluster_of(
+def assign_cluster(
     name: str,
     nodes: Sequence[NodeView],
-    seats: Mapping[int, Seat],
+    seats: Mapping[int, NodeAddress],
     now: float,
     guards: ifc.Guards,
     rate: float,
     asked: float,
-) -> ClusterSet:
+) -> ClusterAssignment:
     """Endpoints by weight. `asked` is the cost a ms that the proxies send to this cluster.
 
     Where even by weight a cold node would get over its part of the rule, the cluster refuses the rest: the
     sum of what all proxies send it is bounded, whoever sends.
     """
-    able = [(view, weight_of(view, now, guards)) for view in nodes if view.entry.node in seats]
+    able = [(view, endpoint_weight(view, now, guards)) for view in nodes if view.entry.node in seats]
     used = [(view, weight) for view, weight in able if weight > 0.0]
     if not used:  # better a sick node than none: but never one that drains or is gone
         used = [
@@ -124,10 +133,10 @@
             room = COLD_PART * guards.fall_multiple * warm * rate * view.entry.size
             gets = asked * weight / total
             shed = max(shed, 1.0 - room / gets if gets > room else 0.0)
-    return ClusterSet(name, tuple(endpoints), min(1.0, shed))
+    return ClusterAssignment(name, tuple(endpoints), min(1.0, shed))
 
 
-def repeats_of(method: ifc.Method, permits: ifc.Permits) -> tuple[int, tuple[str, ...], float]:
+def retries_of(method: ifc.Method, permits: ifc.Permits) -> tuple[int, tuple[str, ...], float]:
     """Further picks at a proxy, on what, and the time of one pick.
 
     Non-idempotent: none, ever: a proxy's proof that a pick never ran is not ours. Tokened: within its window
@@ -158,14 +167,14 @@
         return 0.0  # which keys have been answered by the new build is not known at proxies
     # Counted by method, each has its own free picks and a part of the RPCs that is not known.
     one_count = not start.exposure.by_method or len(start.methods) == 1
-    return safe_share(cap, start.exposure.free, least if one_count else 0.0)
+    return safe_trial_share(cap, start.exposure.free, least if one_count else 0.0)
 
 
 def assign(
-    view: View,
+    view: BalancerView,
     start: ifc.Start,
-    seats: Mapping[int, Seat],
-    proxies: Mapping[str, ProxyUse],
+    seats: Mapping[int, NodeAddress],
+    proxies: Mapping[str, ProxyLoad],
     cost: float = 1.0,
 ) -> Assignment:
     """The assignment of an up-to-date proxy. `cost` is the mean cost of an RPC in the module's units."""
@@ -175,30 +184,32 @@
         builds.setdefault(build, []).append(node)
     total = math.fsum(use.rpcs_per_s for use in proxies.values())
     least = 0.5 * total * start.exposure.window_ms / 1000.0  # what they took may halve within a window
-    sets: dict[int, ClusterSet] = {}
+    sets: dict[int, ClusterAssignment] = {}
     routes = []
     shares: dict[str, dict[int, float]] = {}
     for method in start.methods:
         shares[method.name] = {
-            build: told_share(trial_share(method, start, view.news, build, least), proxies)
+            build: compensated_share(trial_share(method, start, view.news, build, least), proxies)
             for build in builds
             if build and view.fresh
         }
     for build, nodes in sorted(builds.items()):
         name = cluster_name(build, build != 0)
         part = max((own.get(build, 0.0) for own in shares.values()), default=0.0) if build else 1.0
-        sets[build] = cluster_of(name, nodes, seats, view.at_ms, start.guards, view.rate, total * part * cost / 1000.0)
-    earlier = sets.get(0, ClusterSet(EARLIER, ()))
+        sets[build] = assign_cluster(
+            name, nodes, seats, view.at_ms, start.guards, view.rate, total * part * cost / 1000.0
+        )
+    earlier = sets.get(0, ClusterAssignment(EARLIER_CLUSTER, ()))
     for method in start.methods:
-        repeats, on, each = repeats_of(method, start.permits)
+        repeats, on, each = retries_of(method, start.permits)
         parts = []
         for build, share in shares[method.name].items():
             if sets[build].endpoints and share > 0.0:
-                parts.append((sets[build].name, int(share * MILLION)))
+                parts.append((sets[build].name, int(share * SHARE_DENOMINATOR)))
         if parts:
             repeats, on, each = 0, (), method.hard_ms
         parts = _whole(parts, bool(earlier.endpoints))
-        routes.append(RouteSet(method.name, tuple(parts), method.hard_ms, each, repeats, on))
+        routes.append(MethodRoute(method.name, tuple(parts), method.hard_ms, each, repeats, on))
     kept = [earlier, *(one for build, one in sorted(sets.items()) if build)]
     return Assignment(tuple(kept), tuple(routes))
 
@@ -210,15 +221,15 @@
     answer isn't.
     """
     over = sum(share for _, share in parts)
-    if over > MILLION:
-        parts = [(name, share * MILLION // over) for name, share in parts]
-    rest = MILLION - sum(share for _, share in parts)
+    if over > SHARE_DENOMINATOR:
+        parts = [(name, share * SHARE_DENOMINATOR // over) for name, share in parts]
+    rest = SHARE_DENOMINATOR - sum(share for _, share in parts)
     if not rest and not earlier:
         return parts
-    return [(EARLIER, rest), *((name, share) for name, share in parts if share > 0)]
+    return [(EARLIER_CLUSTER, rest), *((name, share) for name, share in parts if share > 0)]
 
 
-def gone(before: Assignment, after: Assignment) -> set[int]:
+def removed_nodes(before: Assignment, after: Assignment) -> set[int]:
     """Nodes that were assigned and are no longer: such a change waits for nothing."""
 
     def nodes(one: Assignment) -> set[int]:
@@ -227,10 +238,10 @@
     return nodes(before) - nodes(after)
 
 
-def urgent(before: Assignment | None, after: Assignment) -> bool:
+def is_urgent(before: Assignment | None, after: Assignment) -> bool:
     """Drains and falling trial shares go out at once; warmth and weights may be merged."""
-    if before is None or gone(before, after):
+    if before is None or removed_nodes(before, after):
         return True
-    old = {(route.method, name): share for route in before.routes for name, share in route.clusters}
-    new = {(route.method, name): share for route in after.routes for name, share in route.clusters}
-    return any(key[1] != EARLIER and new.get(key, 0) < share for key, share in old.items())
+    old = {(route.method, name): share for route in before.routes for name, share in route.weighted_clusters}
+    new = {(route.method, name): share for route in after.routes for name, share in route.weighted_clusters}
+    return any(key[1] != EARLIER_CLUSTER and new.get(key, 0) < share for key, share in old.items())
--- a/brookreach/xds/codec.py
+++ b/brookreach/xds/codec.py
@@ -10,9 +10,9 @@
 
 from envoy.service.discovery.v3 import discovery_pb2
 
-from brookreach.xds.messages import Answer, Ask
+from brookreach.xds.messages import DiscoveryRequest, DiscoveryResponse
 
-MERGES = 256  # serialised responses kept
+MAX_CACHED_RESPONSES = 256  # serialised responses kept
 
 
 def _error(request: Any) -> str:
@@ -21,59 +21,61 @@
     return f"{request.error_detail.code} {request.error_detail.message}"
 
 
-def whole_ask(request: Any) -> Ask:
+def sotw_request(request: Any) -> DiscoveryRequest:
     names = tuple(request.resource_names)
-    return Ask(request.type_url, request.response_nonce, request.version_info, names, _error(request))
+    return DiscoveryRequest(request.type_url, request.response_nonce, request.version_info, names, _error(request))
 
 
-def delta_ask(request: Any) -> Ask:
-    return Ask(
+def delta_request(request: Any) -> DiscoveryRequest:
+    return DiscoveryRequest(
         request.type_url,
         request.response_nonce,
-        error=_error(request),
+        error_detail=_error(request),
         subscribe=tuple(request.resource_names_subscribe),
         unsubscribe=tuple(request.resource_names_unsubscribe),
-        initial=dict(request.initial_resource_versions),
+        initial_resource_versions=dict(request.initial_resource_versions),
     )
 
 
-class Writer:
+class ResponseEncoder:
     """Answers as bytes; what is alike for many streams is serialised once."""
 
     def __init__(self) -> None:
-        self.kept: OrderedDict[tuple[object, ...], bytes] = OrderedDict()
-        self.made = 0
+        self.cache: OrderedDict[tuple[object, ...], bytes] = OrderedDict()
+        self.encoded_count = 0
 
-    def octets(self, answer: Answer, delta: bool) -> bytes:
+    def encode(self, answer: DiscoveryResponse, delta: bool) -> bytes:
         key = (
             delta,
-            answer.kind,
-            answer.version,
-            answer.removed,
+            answer.type_url,
+            answer.version_info,
+            answer.removed_resources,
             tuple((r.name, r.version) for r in answer.resources),
         )
-        body = self.kept.get(key)
+        body = self.cache.get(key)
         if body is None:
             body = self._delta(answer) if delta else self._whole(answer)
-            self.made += 1
-            self.kept[key] = body
-            while len(self.kept) > MERGES:
-                self.kept.popitem(last=False)
+            self.encoded_count += 1
+            self.cache[key] = body
+            while len(self.cache) > MAX_CACHED_RESPONSES:
+                self.cache.popitem(last=False)
         # Parts of a message that stand one after the other are one message.
         part = (discovery_pb2.DeltaDiscoveryResponse if delta else discovery_pb2.DiscoveryResponse)(nonce=answer.nonce)
         return body + part.SerializeToString()
 
     @staticmethod
-    def _whole(answer: Answer) -> bytes:
-        made = discovery_pb2.DiscoveryResponse(version_info=answer.version, type_url=answer.kind)
+    def _whole(answer: DiscoveryResponse) -> bytes:
+        made = discovery_pb2.DiscoveryResponse(version_info=answer.version_info, type_url=answer.type_url)
         for one in answer.resources:
             made.resources.add().ParseFromString(one.payload)
         return made.SerializeToString()
 
     @staticmethod
-    def _delta(answer: Answer) -> bytes:
+    def _delta(answer: DiscoveryResponse) -> bytes:
         made = discovery_pb2.DeltaDiscoveryResponse(
-            system_version_info=answer.version, type_url=answer.kind, removed_resources=answer.removed
+            system_version_info=answer.version_info,
+            type_url=answer.type_url,
+            removed_resources=answer.removed_resources,
         )
         for one in answer.resources:
             held = made.resources.add(name=one.name, version=one.version)
--- a/brookreach/xds/config.py
+++ b/brookreach/xds/config.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from brookreach.files import BadFile, checked, read_toml
-from brookreach.xds.serve import Allowed
+from brookreach.xds.ads_server import NodeIdPermissions
 
 Ms = Annotated[float, msgspec.Meta(ge=0.0, le=3_600_000.0)]
 
@@ -16,14 +16,18 @@
 class ServePart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """[serve]: where, and how changes are put together."""
 
-    marshal: str  # the JSON that a marshal would be started with: discovery, platform, settings
+    balancer: str = msgspec.field(
+        name="marshal"
+    )  # the JSON that a marshal would be started with: discovery, platform, settings
     listen: str = "127.0.0.1:18000"
     merge_ms: Ms = 100.0
-    linger_ms: Ms = 30_000.0
-    forget_ms: Ms = 300_000.0
-    view_ms: Annotated[float, msgspec.Meta(ge=20.0, le=10_000.0)] = 250.0
-    keep: str = ""  # where the last view is kept; empty: nowhere
-    streams: Annotated[int, msgspec.Meta(ge=1, le=65_536)] = 4096
+    removal_grace_ms: Ms = msgspec.field(default=30_000.0, name="linger_ms")
+    proxy_ttl_ms: Ms = msgspec.field(default=300_000.0, name="forget_ms")
+    view_interval_ms: Annotated[float, msgspec.Meta(ge=20.0, le=10_000.0)] = msgspec.field(
+        default=250.0, name="view_ms"
+    )
+    state_file: str = msgspec.field(default="", name="keep")  # where the last view is kept; empty: nowhere
+    max_streams: Annotated[int, msgspec.Meta(ge=1, le=65_536)] = msgspec.field(default=4096, name="streams")
 
 
 class TlsPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -31,9 +35,13 @@
 
     certificate: str
     key: str
-    trusted: str = ""  # who signs clients; empty: clients need no certificate
+    trusted_roots: str = msgspec.field(
+        default="", name="trusted"
+    )  # who signs clients; empty: clients need no certificate
     name: str = ""  # that the certificate must be for
-    look_ms: Annotated[float, msgspec.Meta(ge=100.0, le=3_600_000.0)] = 5000.0
+    reload_interval_ms: Annotated[float, msgspec.Meta(ge=100.0, le=3_600_000.0)] = msgspec.field(
+        default=5000.0, name="look_ms"
+    )
 
 
 class ClientPart(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -50,16 +58,16 @@
     tls: TlsPart | None = None
     client: tuple[ClientPart, ...] = ()
 
-    def allowed(self) -> Allowed:
-        return Allowed(tuple((one.name, one.nodes) for one in self.client))
+    def permissions(self) -> NodeIdPermissions:
+        return NodeIdPermissions(tuple((one.name, one.nodes) for one in self.client))
 
 
-def read(path: Path) -> ControlFile:
+def read_configuration(path: Path) -> ControlFile:
     """Raises BadFile."""
-    return control(path, read_toml(path))
+    return parse_configuration(path, read_toml(path))
 
 
-def control(path: Path, values: dict[str, Any]) -> ControlFile:
+def parse_configuration(path: Path, values: dict[str, Any]) -> ControlFile:
     """The values of the file at `path`, checked as a whole; raises BadFile."""
     told = checked(path, values, ControlFile)
     errors = []
@@ -68,7 +76,7 @@
         errors.append(f"{path}: serve.listen: {told.serve.listen!r}; host:port is allowed")
     if told.tls is None and host not in ("127.0.0.1", "[::1]", "localhost"):
         errors.append(f"{path}: serve.listen: {told.serve.listen!r} without [tls]; plain only on loopback")
-    if told.client and (told.tls is None or not told.tls.trusted):
+    if told.client and (told.tls is None or not told.tls.trusted_roots):
         errors.append(f"{path}: client: names are taken from certificates; tls.trusted is needed")
     for at, one in enumerate(told.client):
         if not one.nodes:
--- a/brookreach/xds/service.py
+++ b/brookreach/xds/control_plane.py
@@ -16,37 +16,44 @@
 from brookreach.net.report import Writers
 from brookreach.tls.reloader import CredentialsReloader
 from brookreach.xds import store
-from brookreach.xds.book import Book
-from brookreach.xds.config import ControlFile, read
-from brookreach.xds.records import Seat
-from brookreach.xds.serve import Front, server
-from brookreach.xds.view import view_of
+from brookreach.xds.ads_server import AdsServer, create_server
+from brookreach.xds.config import ControlFile, read_configuration
+from brookreach.xds.records import NodeAddress
+from brookreach.xds.snapshot_cache import SnapshotCache
+from brookreach.xds.view import balancer_view
 
+RESTART_KEYS = {"listen": "listen", "marshal": "balancer", "keep": "state_file"}
+"""Keys of [serve] that are read at the start only, with their attributes."""
 
-class Service:
+
+class ControlPlane:
     """All parts of one control service."""
 
     def __init__(self, path: Path, told: ControlFile, lines: Writers | None = None):
-        self.path, self.told = path, told
-        marshal = object_at(str(path.parent / told.serve.marshal), f"{path}: serve.marshal")
+        self.path, self.configuration = path, told
+        marshal = object_at(str(path.parent / told.serve.balancer), f"{path}: serve.marshal")
         self.parts = Parts(marshal, lines)
-        self.say = lambda text: self.parts.report.say("xds", text)
+        self.log = lambda text: self.parts.report.say("xds", text)
         zones = list(marshal["settings"]["zones"])
-        life = f"{time.time_ns():x}"  # unlike that of any life before it
-        self.book = Book(
+        instance_id = f"{time.time_ns():x}"  # unlike that of any life before it
+        self.cache = SnapshotCache(
             self.parts.driver.start,
             zones,
-            life,
+            instance_id,
             told.serve.merge_ms,
-            told.serve.forget_ms,
-            told.serve.linger_ms,
+            told.serve.proxy_ttl_ms,
+            told.serve.removal_grace_ms,
         )
-        self.front = Front(
-            self.book, self.say, told.allowed(), streams=told.serve.streams, clock=self.parts.driver.clock.now
+        self.ads = AdsServer(
+            self.cache,
+            self.log,
+            told.permissions(),
+            max_streams=told.serve.max_streams,
+            clock=self.parts.driver.clock.now,
         )
         self.credentials_reloader = self._make_credentials_reloader()
-        self.seats: dict[int, Seat] = {}
-        self.heard = False  # of discovery, in this life
+        self.addresses: dict[int, NodeAddress] = {}
+        self.discovery_received = False  # of discovery, in this life
         self.port = 0
         # The configuration's own list has been read already: seats come with discovery's first.
         listing = self.parts.discovery.told
@@ -54,11 +61,11 @@
         self.serving = anyio.Event()
 
     def _make_credentials_reloader(self) -> CredentialsReloader | None:
-        tls = self.told.tls
+        tls = self.configuration.tls
         if tls is None:
             return None
         folder = self.path.parent
-        trusted = folder / tls.trusted if tls.trusted else None
+        trusted = folder / tls.trusted_roots if tls.trusted_roots else None
         return CredentialsReloader(
             folder / tls.certificate,
             folder / tls.key,
@@ -71,23 +78,23 @@
         def told(news: Any, listed: list[Listed]) -> None:
             listing(news, listed)
             for one in listed:
-                self.seats[one.entry.node] = Seat(one.entry.node, *one.address)
-            self.heard = True
+                self.addresses[one.entry.node] = NodeAddress(one.entry.node, *one.address)
+            self.discovery_received = True
 
         return told
 
-    def look(self) -> None:
+    def refresh_view(self) -> None:
         """The module's view as it stands now goes to the book; what has gone from the list loses its seat."""
         driver = self.parts.driver
-        if not self.heard:
+        if not self.discovery_received:
             return
-        view = view_of(driver.marshal, driver.clock.now())
+        view = balancer_view(driver.marshal, driver.clock.now())
         known = {node.entry.node for node in view.nodes}
-        self.seats = {node: seat for node, seat in self.seats.items() if node in known}
-        self.front.update(view, self.seats)
+        self.addresses = {node: seat for node, seat in self.addresses.items() if node in known}
+        self.ads.update(view, self.addresses)
 
     async def run(self) -> None:
-        made, self.port = server(self.front, self.told.serve.listen, self.credentials_reloader)
+        made, self.port = create_server(self.ads, self.configuration.serve.listen, self.credentials_reloader)
         self._restore()
         await made.start()
         driver = self.parts.driver
@@ -98,17 +105,17 @@
                     driver.run,
                     self.parts.platform.follow,
                     self.parts.discovery.follow,
-                    self.front.publish,
-                    self.watch,
-                    self.keys,
+                    self.ads.publish,
+                    self.watch_view,
+                    self.reload_credentials,
                 ):
                     tasks.start_soon(task)
                 with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
-                    self.say(f"serves on port {self.port}, {'TLS' if self.credentials_reloader else 'plain'}")
+                    self.log(f"serves on port {self.port}, {'TLS' if self.credentials_reloader else 'plain'}")
                     self.serving.set()
                     async for one in signals:
                         if one != signal.SIGHUP:
-                            self.say(f"ends, {len(self.front.wakes)} streams")
+                            self.log(f"ends, {len(self.ads.wakeups)} streams")
                             tasks.cancel_scope.cancel()
                             break
                         self.reload()
@@ -117,15 +124,15 @@
                 await made.stop(0.2)
             self.parts.poller.close()
 
-    async def watch(self) -> None:
+    async def watch_view(self) -> None:
         """Looks at the module as often as told, and at once after a list or news."""
         last: object = None
         while True:
-            self.look()
+            self.refresh_view()
             if self._stands() != last:
                 last = self._stands()
                 self._save()
-            for _ in range(max(1, round(self.told.serve.view_ms / 20.0))):
+            for _ in range(max(1, round(self.configuration.serve.view_interval_ms / 20.0))):
                 await anyio.sleep(0.02)
                 if self._stands() != last:
                     break  # a drain waits for no beat
@@ -135,9 +142,11 @@
         news = self.parts.driver.news
         return self.parts.discovery.version, news and (news.build, news.stage, news.phase, news.cap)
 
-    async def keys(self) -> None:
+    async def reload_credentials(self) -> None:
         while True:
-            await anyio.sleep((self.told.tls.look_ms if self.told.tls else 60_000.0) / 1000.0)
+            await anyio.sleep(
+                (self.configuration.tls.reload_interval_ms if self.configuration.tls else 60_000.0) / 1000.0
+            )
             if self.credentials_reloader is not None:
                 self.credentials_reloader.reload()
                 left = self.credentials_reloader.credentials.days_left(self.credentials_reloader.now())
@@ -149,36 +158,38 @@
     def reload(self) -> None:
         """SIGHUP: what can't be read changes nothing."""
         try:
-            told = read(self.path)
+            told = read_configuration(self.path)
         except BadFile as error:
-            return self.say(f"configuration not taken: {error}")
+            return self.log(f"configuration not taken: {error}")
         other = [
-            name
-            for name in ("listen", "marshal", "keep")
-            if getattr(told.serve, name) != getattr(self.told.serve, name)
+            key
+            for key, attribute in RESTART_KEYS.items()
+            if getattr(told.serve, attribute) != getattr(self.configuration.serve, attribute)
         ]
-        self.told = told
-        self.front.allowed = told.allowed()
-        self.book.merge_ms, self.book.linger_ms = told.serve.merge_ms, told.serve.linger_ms
+        self.configuration = told
+        self.ads.permissions = told.permissions()
+        self.cache.merge_ms, self.cache.removal_grace_ms = told.serve.merge_ms, told.serve.removal_grace_ms
         if self.credentials_reloader is not None:
             self.credentials_reloader.reload()
-        self.say("configuration read" + (f"; {', '.join(other)} stay until a restart" if other else ""))
+        self.log("configuration read" + (f"; {', '.join(other)} stay until a restart" if other else ""))
 
     def _restore(self) -> None:
-        if not self.told.serve.keep:
+        if not self.configuration.serve.state_file:
             return
-        held, lines = store.load(self.path.parent / self.told.serve.keep)
+        held, lines = store.load(self.path.parent / self.configuration.serve.state_file)
         for line in lines:
-            self.say(line)
+            self.log(line)
         if held is not None:
             view, seats = held
-            self.say(f"serves the last view until discovery is heard: {len(view.nodes)} nodes, no build on trial")
-            self.front.update(view, {seat.node: seat for seat in seats})
+            self.log(f"serves the last view until discovery is heard: {len(view.nodes)} nodes, no build on trial")
+            self.ads.update(view, {seat.node: seat for seat in seats})
 
     def _save(self) -> None:
-        if not self.told.serve.keep or self.book.view is None or not self.heard:
+        if not self.configuration.serve.state_file or self.cache.view is None or not self.discovery_received:
             return
         try:
-            store.save(self.path.parent / self.told.serve.keep, self.book.view, list(self.seats.values()))
+            store.save(
+                self.path.parent / self.configuration.serve.state_file, self.cache.view, list(self.addresses.values())
+            )
         except OSError as error:
-            self.say(f"the view can't be kept: {error.strerror}")
+            self.log(f"the view can't be kept: {error.strerror}")
--- a/brookreach/xds/messages.py
+++ b/brookreach/xds/messages.py
@@ -5,14 +5,14 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-PREFIX = "type.googleapis.com/"
-CDS = PREFIX + "envoy.config.cluster.v3.Cluster"
-EDS = PREFIX + "envoy.config.endpoint.v3.ClusterLoadAssignment"
-LDS = PREFIX + "envoy.config.listener.v3.Listener"
-RDS = PREFIX + "envoy.config.route.v3.RouteConfiguration"
-ORDER = (CDS, EDS, LDS, RDS)
+TYPE_URL_PREFIX = "type.googleapis.com/"
+CDS = TYPE_URL_PREFIX + "envoy.config.cluster.v3.Cluster"
+EDS = TYPE_URL_PREFIX + "envoy.config.endpoint.v3.ClusterLoadAssignment"
+LDS = TYPE_URL_PREFIX + "envoy.config.listener.v3.Listener"
+RDS = TYPE_URL_PREFIX + "envoy.config.route.v3.RouteConfiguration"
+UPDATE_ORDER = (CDS, EDS, LDS, RDS)
 WILDCARD = "*"
-WILD = (CDS, LDS)  # an empty first list of names asks for all of these
+WILDCARD_TYPES = (CDS, LDS)  # an empty first list of names asks for all of these
 
 
 @dataclass(frozen=True)
@@ -31,46 +31,46 @@
     versions: Mapping[str, str]
     resources: Mapping[str, Mapping[str, Resource]]
 
-    def of(self, kind: str) -> Mapping[str, Resource]:
-        return self.resources.get(kind, {})
+    def of(self, type_url: str) -> Mapping[str, Resource]:
+        return self.resources.get(type_url, {})
 
 
 @dataclass(frozen=True)
-class Ask:
+class DiscoveryRequest:
     """A request, either way. `names` is for state of the world; the other lists for delta."""
 
-    kind: str
+    type_url: str
     nonce: str = ""
-    version: str = ""
-    names: tuple[str, ...] = ()
-    error: str = ""
+    version_info: str = ""
+    resource_names: tuple[str, ...] = ()
+    error_detail: str = ""
     subscribe: tuple[str, ...] = ()
     unsubscribe: tuple[str, ...] = ()
-    initial: Mapping[str, str] = field(default_factory=dict)
+    initial_resource_versions: Mapping[str, str] = field(default_factory=dict)
 
 
 @dataclass(frozen=True)
-class Answer:
+class DiscoveryResponse:
     """A response, either way. `removed` is for delta only."""
 
-    kind: str
+    type_url: str
     nonce: str
-    version: str
+    version_info: str
     resources: tuple[Resource, ...]
-    removed: tuple[str, ...] = ()
+    removed_resources: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True)
 class Limits:
     """Bounds of one stream."""
 
-    names: int = 4096
-    name_bytes: int = 512
-    kinds: int = 32
-    error_bytes: int = 400
+    max_names: int = 4096
+    max_name_bytes: int = 512
+    max_types: int = 32
+    max_error_bytes: int = 400
 
 
-class Refused(Exception):
+class StreamRejectedError(Exception):
     """The stream ends with this; `code` is a gRPC status by name."""
 
     def __init__(self, code: str, text: str):
--- a/brookreach/xds/records.py
+++ b/brookreach/xds/records.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True)
-class Seat:
+class NodeAddress:
     """Where a node listens, by its id as discovery gives it."""
 
     node: int
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True)
-class View:
+class BalancerView:
     """What the module decides at one time."""
 
     at_ms: float
@@ -45,45 +45,45 @@
     port: int
     zone: int
     weight: int  # 1 to 1000
-    sick: bool
+    degraded: bool
 
 
 @dataclass(frozen=True)
-class ClusterSet:
-    """The endpoints of one build; `shed` is the share of RPCs that the cluster must refuse by itself."""
+class ClusterAssignment:
+    """The endpoints of one build; `drop_share` is the share of RPCs that the cluster must refuse by itself."""
 
     name: str
     endpoints: tuple[Endpoint, ...]
-    shed: float = 0.0
+    drop_share: float = 0.0
 
 
 @dataclass(frozen=True)
-class RouteSet:
+class MethodRoute:
     """One method's route: shares of clusters in millionths, adding up to a million, and what may be
     repeated.
     """
 
     method: str
-    clusters: tuple[tuple[str, int], ...]
+    weighted_clusters: tuple[tuple[str, int], ...]
     timeout_ms: float
-    pick_ms: float
-    repeats: int  # picks after the first
-    repeat_on: tuple[str, ...]
+    per_try_timeout_ms: float
+    max_retries: int  # picks after the first
+    retry_on: tuple[str, ...]
 
 
 @dataclass(frozen=True)
 class Assignment:
     """All that one proxy is told. Two servers with the same view and facts make the same."""
 
-    clusters: tuple[ClusterSet, ...]
-    routes: tuple[RouteSet, ...]
+    clusters: tuple[ClusterAssignment, ...]
+    routes: tuple[MethodRoute, ...]
 
 
 @dataclass(frozen=True)
-class ProxyUse:
+class ProxyLoad:
     """What is known of one proxy: RPCs a second by its reports, and the trial shares that it may still
     use.
     """
 
     rpcs_per_s: float
-    shares: tuple[float, ...]  # the ACKed one, and all told since
+    trial_shares: tuple[float, ...]  # the ACKed one, and all told since
--- a/brookreach/xds/resources.py
+++ b/brookreach/xds/resources.py
@@ -22,9 +22,9 @@
 from google.protobuf import any_pb2, duration_pb2, wrappers_pb2
 
 from brookreach.xds.messages import CDS, EDS, LDS, RDS, Resource, Snapshot
-from brookreach.xds.records import Assignment, ClusterSet, Endpoint, RouteSet
+from brookreach.xds.records import Assignment, ClusterAssignment, Endpoint, MethodRoute
 
-LISTENER, ROUTES = "brookreach", "brookreach-routes"
+LISTENER_NAME, ROUTE_CONFIGURATION_NAME = "brookreach", "brookreach-routes"
 METHOD_HEADER = "x-brookreach-method"
 
 
@@ -45,14 +45,14 @@
     )
 
 
-def cluster_of(build: str, method: str) -> str:
+def cluster_resource_name(build: str, method: str) -> str:
     return f"{build}/{method}"
 
 
-def cluster(one: ClusterSet, method: str) -> cluster_pb2.Cluster:
+def make_cluster(one: ClusterAssignment, method: str) -> cluster_pb2.Cluster:
     """Endpoints come by EDS; the LB keeps to weights within a locality, and reports load."""
     return cluster_pb2.Cluster(
-        name=cluster_of(one.name, method),
+        name=cluster_resource_name(one.name, method),
         type=cluster_pb2.Cluster.EDS,
         connect_timeout=_ms(250.0),
         eds_cluster_config=cluster_pb2.Cluster.EdsClusterConfig(eds_config=_ads(), service_name=one.name),
@@ -63,12 +63,12 @@
     )
 
 
-def endpoints(one: ClusterSet, zones: Sequence[str]) -> endpoint_pb2.ClusterLoadAssignment:
+def make_load_assignment(one: ClusterAssignment, zones: Sequence[str]) -> endpoint_pb2.ClusterLoadAssignment:
     """By locality; sick endpoints a priority lower; what must be refused as an overload drop."""
     places: dict[tuple[int, int], list[Endpoint]] = {}
-    least = min((int(end.sick) for end in one.endpoints), default=0)  # priorities begin at 0 without a gap
+    least = min((int(end.degraded) for end in one.endpoints), default=0)  # priorities begin at 0 without a gap
     for end in one.endpoints:
-        places.setdefault((int(end.sick) - least, end.zone), []).append(end)
+        places.setdefault((int(end.degraded) - least, end.zone), []).append(end)
     made = endpoint_pb2.ClusterLoadAssignment(cluster_name=one.name)
     for (priority, zone), some in sorted(places.items()):
         place = made.endpoints.add(priority=priority)
@@ -82,36 +82,36 @@
                             socket_address=address_pb2.SocketAddress(address=end.address, port_value=end.port)
                         )
                     ),
-                    health_status=health_check_pb2.DEGRADED if end.sick else health_check_pb2.HEALTHY,
+                    health_status=health_check_pb2.DEGRADED if end.degraded else health_check_pb2.HEALTHY,
                     load_balancing_weight=wrappers_pb2.UInt32Value(value=end.weight),
                 )
             )
-    if one.shed > 0.0:
+    if one.drop_share > 0.0:
         drop = made.policy.drop_overloads.add(category="cold")
-        drop.drop_percentage.numerator = min(1_000_000, round(one.shed * 1_000_000))
+        drop.drop_percentage.numerator = min(1_000_000, round(one.drop_share * 1_000_000))
         drop.drop_percentage.denominator = 2  # of a million
     return made
 
 
-def routes(some: Sequence[RouteSet]) -> route_pb2.RouteConfiguration:
+def make_route_configuration(some: Sequence[MethodRoute]) -> route_pb2.RouteConfiguration:
     """A route for each method, matched by a header; hedging is never told."""
-    made = route_pb2.RouteConfiguration(name=ROUTES)
+    made = route_pb2.RouteConfiguration(name=ROUTE_CONFIGURATION_NAME)
     host = made.virtual_hosts.add(name="all", domains=["*"])
     for one in some:
         route = host.routes.add(name=one.method)
         route.match.prefix = "/"
         header = route.match.headers.add(name=METHOD_HEADER)
         header.string_match.exact = one.method
-        for name, share in one.clusters:
+        for name, share in one.weighted_clusters:
             route.route.weighted_clusters.clusters.add(
-                name=cluster_of(name, one.method), weight=wrappers_pb2.UInt32Value(value=share)
+                name=cluster_resource_name(name, one.method), weight=wrappers_pb2.UInt32Value(value=share)
             )
         route.route.timeout.CopyFrom(_ms(one.timeout_ms))
-        if one.repeats > 0:
+        if one.max_retries > 0:
             policy = route.route.retry_policy
-            policy.retry_on = ",".join(one.repeat_on)
-            policy.num_retries.value = one.repeats
-            policy.per_try_timeout.CopyFrom(_ms(one.pick_ms))
+            policy.retry_on = ",".join(one.retry_on)
+            policy.num_retries.value = one.max_retries
+            policy.per_try_timeout.CopyFrom(_ms(one.per_try_timeout_ms))
             policy.retry_host_predicate.add(name="envoy.retry_host_predicates.previous_hosts")
             policy.host_selection_retry_max_attempts = 5
     # What names no method of ours is not routed: nobody could say whether it may run twice.
@@ -121,35 +121,37 @@
     return made
 
 
-def listener() -> listener_pb2.Listener:
+def make_listener() -> listener_pb2.Listener:
     """An API listener: proxies that listen by themselves put their own in front."""
     manager = hcm_pb2.HttpConnectionManager(
-        stat_prefix="brookreach", rds=hcm_pb2.Rds(config_source=_ads(), route_config_name=ROUTES)
+        stat_prefix="brookreach", rds=hcm_pb2.Rds(config_source=_ads(), route_config_name=ROUTE_CONFIGURATION_NAME)
     )
     manager.http_filters.add(name="envoy.filters.http.router", typed_config=_any(router_pb2.Router()))
-    return listener_pb2.Listener(name=LISTENER, api_listener=api_listener_pb2.ApiListener(api_listener=_any(manager)))
+    return listener_pb2.Listener(
+        name=LISTENER_NAME, api_listener=api_listener_pb2.ApiListener(api_listener=_any(manager))
+    )
 
 
 def digest(octets: bytes) -> str:
     return hashlib.blake2b(octets, digest_size=12).hexdigest()
 
 
-def resource(name: str, message: Any) -> Resource:
+def make_resource(name: str, message: Any) -> Resource:
     """A message as a resource whose version is its content's digest."""
     payload = _any(message).SerializeToString(deterministic=True)
     return Resource(name, digest(payload), payload)
 
 
-def snapshot(one: Assignment, zones: Sequence[str]) -> Snapshot:
+def make_snapshot(one: Assignment, zones: Sequence[str]) -> Snapshot:
     """All resources of an assignment."""
     kinds: dict[str, dict[str, Resource]] = {CDS: {}, EDS: {}, LDS: {}, RDS: {}}
     for held in one.clusters:
         for route in one.routes:
-            name = cluster_of(held.name, route.method)
-            kinds[CDS][name] = resource(name, cluster(held, route.method))
-        kinds[EDS][held.name] = resource(held.name, endpoints(held, zones))
-    kinds[LDS][LISTENER] = resource(LISTENER, listener())
-    kinds[RDS][ROUTES] = resource(ROUTES, routes(one.routes))
+            name = cluster_resource_name(held.name, route.method)
+            kinds[CDS][name] = make_resource(name, make_cluster(held, route.method))
+        kinds[EDS][held.name] = make_resource(held.name, make_load_assignment(held, zones))
+    kinds[LDS][LISTENER_NAME] = make_resource(LISTENER_NAME, make_listener())
+    kinds[RDS][ROUTE_CONFIGURATION_NAME] = make_resource(ROUTE_CONFIGURATION_NAME, make_route_configuration(one.routes))
     versions = {
         url: digest("".join(f"{name}={r.version};" for name, r in sorted(some.items())).encode())
         for url, some in kinds.items()
--- a/brookreach/xds/store.py
+++ b/brookreach/xds/store.py
@@ -1,4 +1,4 @@
-"""What lasts over a restart: the last view and seats, atomic and checksummed, in two generations.
+"""What lasts over a restart: the last view and addresses, atomic and checksummed, in two generations.
 
 A server that starts without discovery serves it marked as old: no build on trial gets a share, since nobody
 knows whether the wave goes on. Endpoints are what they were.
@@ -12,7 +12,7 @@
 import msgspec
 
 from brookreach.files import MOST_SEALED, replace_file, seal, unseal
-from brookreach.xds.records import Seat, View
+from brookreach.xds.records import BalancerView, NodeAddress
 
 MAGIC = b"brookreach view 1\n"
 
@@ -21,29 +21,29 @@
     """A file that holds no view; the text says what stands there."""
 
 
-class Held(msgspec.Struct):
-    view: View
-    seats: list[Seat]
+class StoredView(msgspec.Struct):
+    view: BalancerView
+    addresses: list[NodeAddress] = msgspec.field(name="seats")
 
 
-def encode(view: View, seats: list[Seat]) -> bytes:
-    return seal(MAGIC, Held(view, seats))
+def encode(view: BalancerView, addresses: list[NodeAddress]) -> bytes:
+    return seal(MAGIC, StoredView(view, addresses))
 
 
-def decode(octets: bytes) -> tuple[View, list[Seat]]:
+def decode(octets: bytes) -> tuple[BalancerView, list[NodeAddress]]:
     """The view, marked as old. Raises StoreError."""
-    held = unseal(MAGIC, octets, Held, StoreError)
-    return replace(held.view, fresh=False), held.seats
+    held = unseal(MAGIC, octets, StoredView, StoreError)
+    return replace(held.view, fresh=False), held.addresses
 
 
-def save(path: Path, view: View, seats: list[Seat]) -> None:
+def save(path: Path, view: BalancerView, addresses: list[NodeAddress]) -> None:
     """The generation before stays beside it. Raises OSError."""
     if path.exists():
         replace_file(path.with_name(path.name + ".old"), path.read_bytes())
-    replace_file(path, encode(view, seats))
+    replace_file(path, encode(view, addresses))
 
 
-def load(path: Path) -> tuple[tuple[View, list[Seat]] | None, list[str]]:
+def load(path: Path) -> tuple[tuple[BalancerView, list[NodeAddress]] | None, list[str]]:
     """The newest sound generation, and a line for each that was passed over."""
     lines: list[str] = []
     for one in (path, path.with_name(path.name + ".old")):
--- a/brookreach/xds/stream.py
+++ b/brookreach/xds/stream.py
@@ -1,6 +1,6 @@
 """One proxy's stream without I/O: what it asks, ACKs and NACKs in; what it must be told out.
 
-State of the world and delta, after the published description of the xDS transport protocol. A `Session` is
+State of the world and delta, after the published description of the xDS transport protocol. A `AdsStream` is
 one stream. It knows resource types by their URLs, names, versions and payloads as opaque bytes; what they
 mean is `brookreach.xds.resources`. Latest state wins: there is no queue, only what the proxy holds and what
 it should.
@@ -17,217 +17,252 @@
 
 from brookreach.xds.messages import (
     CDS,
-    ORDER,
-    PREFIX,
     RDS,
-    WILD,
+    TYPE_URL_PREFIX,
+    UPDATE_ORDER,
     WILDCARD,
-    Answer,
-    Ask,
+    WILDCARD_TYPES,
+    DiscoveryRequest,
+    DiscoveryResponse,
     Limits,
-    Refused,
     Resource,
     Snapshot,
+    StreamRejectedError,
 )
-from brookreach.xds.subscription import Kind
+from brookreach.xds.subscription import Subscription
 
 
-class Session:
+class AdsStream:
     """One stream of one proxy. `life` makes nonces of this server's life unlike those of any other."""
 
-    def __init__(self, delta: bool, life: str, limits: Limits | None = None):
-        self.delta, self.life, self.limits = delta, life, limits or Limits()
-        self.kinds: dict[str, Kind] = {}
-        self.count = 0
-        self.acks = self.nacks = self.stale = 0
+    def __init__(self, delta: bool, instance_id: str, limits: Limits | None = None):
+        self.delta, self.instance_id, self.limits = delta, instance_id, limits or Limits()
+        self.subscriptions: dict[str, Subscription] = {}
+        self.nonce_count = 0
+        self.acks = self.nacks = self.stale_requests = 0
         self.nacked: list[tuple[str, str, str]] = []  # type, version, the proxy's words; taken by the log
         self.acked: list[tuple[str, str]] = []  # type, version; taken by who counts exposure
 
     # --- what comes in ---
 
-    def hear(self, ask: Ask) -> None:
+    def handle_request(self, ask: DiscoveryRequest) -> None:
         """Raises InvalidFrameError for what no proxy may ask."""
-        if not ask.kind.startswith(PREFIX) or len(ask.kind) > self.limits.name_bytes:
-            raise Refused("INVALID_ARGUMENT", f"type_url {ask.kind[:80]!r}: it must begin with {PREFIX}")
-        for name in (*ask.names, *ask.subscribe, *ask.unsubscribe, *ask.initial):
-            if len(name.encode("utf-8", "surrogatepass")) > self.limits.name_bytes:
-                raise Refused("INVALID_ARGUMENT", f"a resource name of over {self.limits.name_bytes} bytes")
-        if ask.kind not in self.kinds and len(self.kinds) >= self.limits.kinds:
-            raise Refused("RESOURCE_EXHAUSTED", f"over {self.limits.kinds} types on one stream")
-        kind = self.kinds.setdefault(ask.kind, Kind())
+        if not ask.type_url.startswith(TYPE_URL_PREFIX) or len(ask.type_url) > self.limits.max_name_bytes:
+            raise StreamRejectedError(
+                "INVALID_ARGUMENT", f"type_url {ask.type_url[:80]!r}: it must begin with {TYPE_URL_PREFIX}"
+            )
+        for name in (*ask.resource_names, *ask.subscribe, *ask.unsubscribe, *ask.initial_resource_versions):
+            if len(name.encode("utf-8", "surrogatepass")) > self.limits.max_name_bytes:
+                raise StreamRejectedError(
+                    "INVALID_ARGUMENT", f"a resource name of over {self.limits.max_name_bytes} bytes"
+                )
+        if ask.type_url not in self.subscriptions and len(self.subscriptions) >= self.limits.max_types:
+            raise StreamRejectedError("RESOURCE_EXHAUSTED", f"over {self.limits.max_types} types on one stream")
+        subscription = self.subscriptions.setdefault(ask.type_url, Subscription())
         if self.delta:
-            self._hear_delta(kind, ask)
+            self._handle_delta(subscription, ask)
         else:
-            self._hear_whole(kind, ask)
-        if len(kind.names) > self.limits.names:
-            raise Refused("RESOURCE_EXHAUSTED", f"over {self.limits.names} names of {ask.kind}")
+            self._handle_sotw(subscription, ask)
+        if len(subscription.names) > self.limits.max_names:
+            raise StreamRejectedError("RESOURCE_EXHAUSTED", f"over {self.limits.max_names} names of {ask.type_url}")
 
-    def _hear_whole(self, kind: Kind, ask: Ask) -> None:
-        if kind.last_nonce and ask.nonce != kind.last_nonce:
-            self.stale += 1  # it speaks of an answer that a later one has replaced, or of another life
+    def _handle_sotw(self, subscription: Subscription, ask: DiscoveryRequest) -> None:
+        if subscription.last_nonce and ask.nonce != subscription.last_nonce:
+            self.stale_requests += 1  # it speaks of an answer that a later one has replaced, or of another life
             return
-        first = not kind.asked
-        if kind.nonce and ask.nonce == kind.nonce:
-            self._settle(kind, ask)
-        names = set(ask.names)
+        first = not subscription.requested
+        if subscription.pending_nonce and ask.nonce == subscription.pending_nonce:
+            self._handle_verdict(subscription, ask)
+        names = set(ask.resource_names)
         # Names are all that it wants from now on; none at all from the first on, or "*": everything.
-        wild = WILDCARD in names or (not names and ask.kind in WILD and (first or kind.wild))
+        wild = WILDCARD in names or (not names and ask.type_url in WILDCARD_TYPES and (first or subscription.wildcard))
         names.discard(WILDCARD)
         if not first:
-            kind.forced |= names - kind.names  # asked for anew: said again even where held before
-            for name in kind.names - names:
+            subscription.requested_again |= (
+                names - subscription.names
+            )  # asked for anew: said again even where held before
+            for name in subscription.names - names:
                 if not wild:
-                    kind.held.pop(name, None)
-                    kind.good.pop(name, None)
-        kind.asked, kind.wild, kind.names = True, wild, names
+                    subscription.client_versions.pop(name, None)
+                    subscription.acked_versions.pop(name, None)
+        subscription.requested, subscription.wildcard, subscription.names = True, wild, names
 
-    def _hear_delta(self, kind: Kind, ask: Ask) -> None:
-        first = not kind.asked
+    def _handle_delta(self, subscription: Subscription, ask: DiscoveryRequest) -> None:
+        first = not subscription.requested
         if ask.nonce:
-            if ask.nonce == kind.nonce:
-                self._settle(kind, ask)
+            if ask.nonce == subscription.pending_nonce:
+                self._handle_verdict(subscription, ask)
             else:
-                self.stale += 1
+                self.stale_requests += 1
         if first:
-            kind.asked = True
+            subscription.requested = True
             # What it holds of an earlier stream: only what is as it stands is not sent again.
-            kind.held = dict(ask.initial)
-            kind.good = dict(ask.initial)
-            kind.wild = ask.kind in WILD and not ask.subscribe
+            subscription.client_versions = dict(ask.initial_resource_versions)
+            subscription.acked_versions = dict(ask.initial_resource_versions)
+            subscription.wildcard = ask.type_url in WILDCARD_TYPES and not ask.subscribe
         for name in ask.subscribe:
             if name == WILDCARD:
-                kind.wild = True
+                subscription.wildcard = True
             else:
-                kind.names.add(name)
-                if name not in ask.initial:
-                    kind.forced.add(name)
-                kind.absent.discard(name)
+                subscription.names.add(name)
+                if name not in ask.initial_resource_versions:
+                    subscription.requested_again.add(name)
+                subscription.reported_absent.discard(name)
         for name in ask.unsubscribe:
             if name == WILDCARD:
-                kind.wild = False
-                for other in set(kind.held) - kind.names:
-                    kind.held.pop(other), kind.good.pop(other, None)
+                subscription.wildcard = False
+                for other in set(subscription.client_versions) - subscription.names:
+                    subscription.client_versions.pop(other), subscription.acked_versions.pop(other, None)
                 continue
-            kind.names.discard(name)
-            kind.absent.discard(name)
-            kind.forced.discard(name)
-            if not kind.wild:
-                kind.held.pop(name, None)
-                kind.good.pop(name, None)
-
-    def _settle(self, kind: Kind, ask: Ask) -> None:
-        if ask.error:
+            subscription.names.discard(name)
+            subscription.reported_absent.discard(name)
+            subscription.requested_again.discard(name)
+            if not subscription.wildcard:
+                subscription.client_versions.pop(name, None)
+                subscription.acked_versions.pop(name, None)
+
+    def _handle_verdict(self, subscription: Subscription, ask: DiscoveryRequest) -> None:
+        if ask.error_detail:
             self.nacks += 1
-            words = ask.error.encode("utf-8", "replace")[: self.limits.error_bytes].decode("utf-8", "replace")
-            self.nacked.append((ask.kind, kind.ack_version, " ".join(words.split())))
+            words = ask.error_detail.encode("utf-8", "replace")[: self.limits.max_error_bytes].decode(
+                "utf-8", "replace"
+            )
+            self.nacked.append((ask.type_url, subscription.version_info, " ".join(words.split())))
             # It stays on its last good; the same versions are not pressed on it again.
-            kind.refused.update(kind.sent)
-            kind.held = dict(kind.good)
+            subscription.nacked_versions.update(subscription.pending_versions)
+            subscription.client_versions = dict(subscription.acked_versions)
         else:
             self.acks += 1
-            kind.good = dict(kind.held)
-            self.acked.append((ask.kind, kind.ack_version))
-        kind.sent, kind.nonce = {}, ""
+            subscription.acked_versions = dict(subscription.client_versions)
+            self.acked.append((ask.type_url, subscription.version_info))
+        subscription.pending_versions, subscription.pending_nonce = {}, ""
 
     # --- what goes out ---
 
-    def due(self, snapshot: Snapshot) -> list[Answer]:
+    def pending_responses(self, snapshot: Snapshot) -> list[DiscoveryResponse]:
         """All answers that may go out now, in the protocol's order. Call it until it gives none."""
         out = []
-        others = [url for url in self.kinds if url not in ORDER]
-        for url in [*(url for url in ORDER if url in self.kinds), *others]:
-            answer = self._answer(url, snapshot)
+        others = [url for url in self.subscriptions if url not in UPDATE_ORDER]
+        for url in [*(url for url in UPDATE_ORDER if url in self.subscriptions), *others]:
+            answer = self._response(url, snapshot)
             if answer is not None:
                 out.append(answer)
         return out
 
-    def _answer(self, url: str, snapshot: Snapshot) -> Answer | None:
-        kind = self.kinds[url]
-        if not kind.asked or kind.nonce:
+    def _response(self, url: str, snapshot: Snapshot) -> DiscoveryResponse | None:
+        subscription = self.subscriptions[url]
+        if not subscription.requested or subscription.pending_nonce:
             return None  # one under way: latest state wins when it is settled
-        if not self._may_go(url):
+        if not self._predecessors_acked(url):
             return None
         stands = snapshot.of(url)
-        wanted = {name: one for name, one in stands.items() if kind.wants(name)}
-        kept = self._still_used(url, kind, wanted, snapshot)
+        wanted = {name: one for name, one in stands.items() if subscription.wants(name)}
+        kept = self._clusters_in_use(url, subscription, wanted, snapshot)
         if self.delta:
-            return self._delta(url, kind, wanted, kept, snapshot)
-        return self._whole(url, kind, wanted, kept, snapshot)
+            return self._delta_response(url, subscription, wanted, kept, snapshot)
+        return self._sotw_response(url, subscription, wanted, kept, snapshot)
 
-    def _may_go(self, url: str) -> bool:
+    def _predecessors_acked(self, url: str) -> bool:
         """Make before break: a type waits while one before it, that the proxy follows too, is under way."""
-        if url not in ORDER:
+        if url not in UPDATE_ORDER:
             return True
-        return not any(self.kinds[one].nonce for one in ORDER[: ORDER.index(url)] if one in self.kinds)
+        return not any(
+            self.subscriptions[one].pending_nonce
+            for one in UPDATE_ORDER[: UPDATE_ORDER.index(url)]
+            if one in self.subscriptions
+        )
 
-    def _still_used(self, url: str, kind: Kind, wanted: Mapping[str, Resource], snapshot: Snapshot) -> set[str]:
+    def _clusters_in_use(
+        self, url: str, subscription: Subscription, wanted: Mapping[str, Resource], snapshot: Snapshot
+    ) -> set[str]:
         """Clusters that routes may still use: they stay until the newest routes are ACKed."""
-        if url != CDS or RDS not in self.kinds:
+        if url != CDS or RDS not in self.subscriptions:
             return set()
-        if not self.kinds[RDS].refused and self.settled(RDS, snapshot):
+        if not self.subscriptions[RDS].nacked_versions and self.is_acked(RDS, snapshot):
             return set()
-        return set(kind.held) - set(wanted)
+        return set(subscription.client_versions) - set(wanted)
 
     @staticmethod
-    def _changed(kind: Kind, wanted: Mapping[str, Resource]) -> dict[str, Resource]:
+    def _changed(subscription: Subscription, wanted: Mapping[str, Resource]) -> dict[str, Resource]:
         """What the proxy lacks, has in another version, or asked for anew; what it NACKed only if so."""
         return {
             name: one
             for name, one in wanted.items()
-            if name in kind.forced or one.version not in (kind.held.get(name), kind.refused.get(name))
+            if name in subscription.requested_again
+            or one.version not in (subscription.client_versions.get(name), subscription.nacked_versions.get(name))
         }
 
-    def _tell(
-        self, url: str, kind: Kind, snapshot: Snapshot, some: Mapping[str, Resource], removed: set[str]
-    ) -> Answer:
+    def _respond(
+        self, url: str, subscription: Subscription, snapshot: Snapshot, some: Mapping[str, Resource], removed: set[str]
+    ) -> DiscoveryResponse:
         """An answer under way from now on."""
-        self.count += 1
-        kind.nonce = kind.last_nonce = f"{self.life}.{self.count}"
-        kind.sent = {name: one.version for name, one in some.items()}
-        kind.held.update(kind.sent)
-        kind.ack_version, kind.answered = snapshot.versions.get(url, ""), True
-        kind.forced.clear()
+        self.nonce_count += 1
+        subscription.pending_nonce = subscription.last_nonce = f"{self.instance_id}.{self.nonce_count}"
+        subscription.pending_versions = {name: one.version for name, one in some.items()}
+        subscription.client_versions.update(subscription.pending_versions)
+        subscription.version_info, subscription.responded = snapshot.versions.get(url, ""), True
+        subscription.requested_again.clear()
         told = tuple(one for _, one in sorted(some.items()))
-        return Answer(url, kind.nonce, kind.ack_version, told, tuple(sorted(removed)))
-
-    def _whole(
-        self, url: str, kind: Kind, wanted: Mapping[str, Resource], kept: set[str], snapshot: Snapshot
-    ) -> Answer | None:
-        some = self._changed(kind, wanted)
-        missing = set(kind.held) - set(wanted) - kept
-        all_at_once = url in WILD  # an answer lists all of these: what it leaves out is removed
-        if not some and not (missing and all_at_once) and kind.answered:
+        return DiscoveryResponse(
+            url, subscription.pending_nonce, subscription.version_info, told, tuple(sorted(removed))
+        )
+
+    def _sotw_response(
+        self, url: str, subscription: Subscription, wanted: Mapping[str, Resource], kept: set[str], snapshot: Snapshot
+    ) -> DiscoveryResponse | None:
+        some = self._changed(subscription, wanted)
+        missing = set(subscription.client_versions) - set(wanted) - kept
+        all_at_once = url in WILDCARD_TYPES  # an answer lists all of these: what it leaves out is removed
+        if not some and not (missing and all_at_once) and subscription.responded:
             return None
-        if not kind.answered and not wanted and not all_at_once:
+        if not subscription.responded and not wanted and not all_at_once:
             return None  # nothing of it yet: the proxy waits
         if all_at_once:
             # What routes may still use is told once more: left out, it would be removed.
-            still = {name: kind.bodies[name] for name in kept if name in kind.bodies}
-            some = kind.bodies = {**still, **wanted}
-        kind.held = {name: version for name, version in kind.held.items() if name in wanted}
-        return self._tell(url, kind, snapshot, some, set())
-
-    def _delta(
-        self, url: str, kind: Kind, wanted: Mapping[str, Resource], kept: set[str], snapshot: Snapshot
-    ) -> Answer | None:
-        some = self._changed(kind, wanted)
-        removed = {name for name in kind.held if name not in wanted} - kept
-        absent = {name for name in kind.names if name not in wanted and name not in kind.held} - kind.absent
-        if not some and not removed and not absent and kind.answered:
+            still = {name: subscription.sent_resources[name] for name in kept if name in subscription.sent_resources}
+            some = subscription.sent_resources = {**still, **wanted}
+        subscription.client_versions = {
+            name: version for name, version in subscription.client_versions.items() if name in wanted
+        }
+        return self._respond(url, subscription, snapshot, some, set())
+
+    def _delta_response(
+        self, url: str, subscription: Subscription, wanted: Mapping[str, Resource], kept: set[str], snapshot: Snapshot
+    ) -> DiscoveryResponse | None:
+        some = self._changed(subscription, wanted)
+        removed = {name for name in subscription.client_versions if name not in wanted} - kept
+        absent = {
+            name for name in subscription.names if name not in wanted and name not in subscription.client_versions
+        } - subscription.reported_absent
+        if not some and not removed and not absent and subscription.responded:
             return None
         for name in removed:
-            kind.held.pop(name, None)
-        kind.absent = (kind.absent | absent | (removed & kind.names)) - set(wanted)
-        return self._tell(url, kind, snapshot, some, removed | absent)
+            subscription.client_versions.pop(name, None)
+        subscription.reported_absent = (subscription.reported_absent | absent | (removed & subscription.names)) - set(
+            wanted
+        )
+        return self._respond(url, subscription, snapshot, some, removed | absent)
 
-    def settled(self, url: str, snapshot: Snapshot) -> bool:
+    def is_acked(self, url: str, snapshot: Snapshot) -> bool:
         """Whether the proxy has ACKed all that it wants of a type as it stands."""
-        kind = self.kinds.get(url)
-        if kind is None or kind.nonce:
+        subscription = self.subscriptions.get(url)
+        if subscription is None or subscription.pending_nonce:
             return False
-        return all(kind.good.get(n) == r.version for n, r in snapshot.of(url).items() if kind.wants(n))
+        return all(
+            subscription.acked_versions.get(n) == r.version
+            for n, r in snapshot.of(url).items()
+            if subscription.wants(n)
+        )
 
-    def may_use(self, url: str) -> Iterable[str]:
+    def usable_versions(self, url: str) -> Iterable[str]:
         """Versions of a type's resources that the proxy may act on: its good ones and those under way."""
-        kind = self.kinds.get(url)
-        return set() if kind is None else {*kind.good.values(), *kind.held.values(), *kind.sent.values()}
+        subscription = self.subscriptions.get(url)
+        return (
+            set()
+            if subscription is None
+            else {
+                *subscription.acked_versions.values(),
+                *subscription.client_versions.values(),
+                *subscription.pending_versions.values(),
+            }
+        )
--- a/brookreach/xds/subscription.py
+++ b/brookreach/xds/subscription.py
@@ -8,23 +8,23 @@
 
 
 @dataclass
-class Kind:
+class Subscription:
     """A type on one stream."""
 
-    wild: bool = False
+    wildcard: bool = False
     names: set[str] = field(default_factory=set)
-    held: dict[str, str] = field(default_factory=dict)  # what the proxy has or is being sent: name, version
-    good: dict[str, str] = field(default_factory=dict)  # as last ACKed
-    sent: dict[str, str] = field(default_factory=dict)  # by the answer under way
-    nonce: str = ""  # of the answer under way; empty: none
+    client_versions: dict[str, str] = field(default_factory=dict)  # what the proxy has or is being sent: name, version
+    acked_versions: dict[str, str] = field(default_factory=dict)  # as last ACKed
+    pending_versions: dict[str, str] = field(default_factory=dict)  # by the answer under way
+    pending_nonce: str = ""  # of the answer under way; empty: none
     last_nonce: str = ""
-    refused: dict[str, str] = field(default_factory=dict)  # versions that it NACKed: not sent again
-    forced: set[str] = field(default_factory=set)  # asked for anew: sent even where held
-    asked: bool = False
-    absent: set[str] = field(default_factory=set)  # told as not there
-    ack_version: str = ""
-    answered: bool = False  # at least once
-    bodies: dict[str, Resource] = field(default_factory=dict)  # of clusters as last told
+    nacked_versions: dict[str, str] = field(default_factory=dict)  # versions that it NACKed: not sent again
+    requested_again: set[str] = field(default_factory=set)  # asked for anew: sent even where held
+    requested: bool = False
+    reported_absent: set[str] = field(default_factory=set)  # told as not there
+    version_info: str = ""
+    responded: bool = False  # at least once
+    sent_resources: dict[str, Resource] = field(default_factory=dict)  # of clusters as last told
 
     def wants(self, name: str) -> bool:
-        return self.wild or name in self.names
+        return self.wildcard or name in self.names
--- a/brookreach/xds/view.py
+++ b/brookreach/xds/view.py
@@ -4,10 +4,10 @@
 
 from brookreach import interface as ifc
 from brookreach.decide import Marshal
-from brookreach.xds.records import NodeView, View
+from brookreach.xds.records import BalancerView, NodeView
 
 
-def view_of(marshal: Marshal, now: float) -> View:
+def balancer_view(marshal: Marshal, now: float) -> BalancerView:
     """A shunned node has a doubt of 1; one with odds against it, a part of it."""
     desk = marshal.desk
     nodes = []
@@ -18,4 +18,4 @@
         nodes.append(NodeView(node.entry, doubt, slow))
     nodes.sort(key=lambda one: one.entry.node)
     news: ifc.RolloutNews | None = desk.news
-    return View(now, news, tuple(nodes), desk.rate)
+    return BalancerView(now, news, tuple(nodes), desk.rate)
