--- a/brookreach/__main__.py
+++ b/brookreach/__main__.py
@@ -76,7 +76,7 @@
             news = deployer.object("news")
             news.count("version"), news.count("step", stages - 1), news.word("status", PHASES)
             news.number("maxWeight"), news.number("observedAgoMs")
-            self.news: ifc.RolloutNews = news_from(news.values, stages)
+            self.news: ifc.RolloutStatus = news_from(news.values, stages)
             self.driver.begin()
             known.count("revision"), known.flag("complete"), [m.text("id") for m in known.objects("members")]
             self.discovery.read(known.values, cached=True)
--- a/brookreach/benchlink/host.py
+++ b/brookreach/benchlink/host.py
@@ -8,12 +8,12 @@
 from brookreach.benchlink.frames import WireError, read_frame, write_frame
 from brookreach.benchlink.words import Record, entry_from, event_from, record_from, start_from, to_ms
 from brookreach.decide import Marshal
-from brookreach.interface import Action, Fault, NodeEntry, Start
+from brookreach.interface import Action, BalancerSettings, DecisionFault, NodeEntry
 
 
 class Host:
     def __init__(self) -> None:
-        self.lives: dict[int, tuple[Marshal, Start]] = {}
+        self.lives: dict[int, tuple[Marshal, BalancerSettings]] = {}
         self.pools: dict[int, tuple[NodeEntry, ...]] = {}
 
     def answer(self, clock_us: int, events: list[Record]) -> list[Record]:
@@ -53,12 +53,12 @@
             return [_fault(error)]
 
 
-def _fault(error: Exception) -> Fault:
+def _fault(error: Exception) -> DecisionFault:
     trace = error.__traceback__
     while trace and trace.tb_next:
         trace = trace.tb_next
     where = f" at {trace.tb_frame.f_code.co_name}:{trace.tb_lineno}" if trace else ""
-    return Fault(f"{type(error).__name__}: {error}{where}")
+    return DecisionFault(f"{type(error).__name__}: {error}{where}")
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> int:
--- a/brookreach/charts.py
+++ b/brookreach/charts.py
@@ -3,27 +3,38 @@
 import math
 from bisect import bisect
 
-from brookreach.interface import Ending, Guards, NodeEntry, Phase, RolloutNews, Start, Tally
-
-BACKWARDS, NEVER_RAN = (Phase.GOING_BACK, Phase.WITHDRAWN), (Ending.FULL, Ending.NO_CONNECT, Ending.MOOT)
+from brookreach.interface import (
+    BalancerSettings,
+    NodeEntry,
+    Outcome,
+    OutcomeCounts,
+    RolloutPhase,
+    RolloutStatus,
+    SafetyLimits,
+)
+
+BACKWARDS, NEVER_RAN = (
+    (RolloutPhase.GOING_BACK, RolloutPhase.WITHDRAWN),
+    (Outcome.FULL, Outcome.NO_CONNECT, Outcome.MOOT),
+)
 FLOOR, BEAT_MS, WARM_UP_MS = 0.02, 250.0, 3000.0  # FLOOR: of the before-rate; WARM_UP_MS: a trial node's
 ENOUGH, FRESH_MS, KEPT_MS = 20, 4000.0, 20_000.0  # outcomes that tell a rate; how old they may be
 RISE, RISES, SLOWER = 0.15, (0.05, 0.08, 0.11), 1.6  # of failures, by stream and over all; work: told apart
 ALL = -1  # the stream over all methods
 
 
-def warmth(entry: NodeEntry, now: float, guards: Guards) -> float:
+def warmth(entry: NodeEntry, now: float, guards: SafetyLimits) -> float:
     """The share of its capacity that a node has at least: it rises evenly at the slowest."""
     age = max(0.0, now - entry.started_ms) if entry.started_ms else math.inf
     return min(1.0, guards.cold_share + (1.0 - guards.cold_share) * age / guards.warm_ms)
 
 
-def on_trial(news: RolloutNews | None, build: int) -> bool:
+def on_trial(news: RolloutStatus | None, build: int) -> bool:
     """Whether the exposure rule holds for a build; one that is not announced yet counts as on trial."""
-    return news is None or build > news.build or (build == news.build and news.phase != Phase.RELEASED)
+    return news is None or build > news.build or (build == news.build and news.phase != RolloutPhase.RELEASED)
 
 
-def sees_few(start: Start) -> bool:
+def sees_few(start: BalancerSettings) -> bool:
     """Whether a tally holds far more of the picks than a marshal sees of them on an even spread."""
     return start.rollout.tally_ms > 0.0 and start.rollout.tally_sample * start.place.marshals > 4.0
 
@@ -57,7 +68,7 @@
     return max(-2.0, min(2.0, shift * (score - 0.5 * shift)))  # one answer counts no more than an error would
 
 
-def slower(told: Tally, count: float, total_ms: float, shift: float) -> float:
+def slower(told: OutcomeCounts, count: float, total_ms: float, shift: float) -> float:
     """The step for a mean beside `count` answers; of few, far below tells no more than as usual."""
     longer = math.log(max(1.0, told.mean_ms * count / max(1.0, total_ms)))
     return shift * (longer - 0.5 * shift) / (1.0 / (told.count - told.failed) + 1.0 / (count + 1.0))
--- a/brookreach/cli/files.py
+++ b/brookreach/cli/files.py
@@ -72,9 +72,9 @@
 
 
 REPEATS = {
-    "idempotent": ifc.Repeat.IDEMPOTENT,
-    "tokened": ifc.Repeat.TOKENED,
-    "non-idempotent": ifc.Repeat.NON_IDEMPOTENT,
+    "idempotent": ifc.Idempotency.IDEMPOTENT,
+    "tokened": ifc.Idempotency.TOKENED,
+    "non-idempotent": ifc.Idempotency.NON_IDEMPOTENT,
 }
 
 
@@ -83,12 +83,12 @@
     return checked(file, read_toml(file), PlanFile)
 
 
-def planned(file: Path | None) -> tuple[ifc.Start, plan.Seen, list[tuple[str, float]]]:
+def planned(file: Path | None) -> tuple[ifc.BalancerSettings, plan.Seen, list[tuple[str, float]]]:
     """Of a plan's file, or of the defaults; raises BadFile."""
     return facts_of(file, read_plan(file)) if file else facts_of(Path("defaults"), PlanFile())
 
 
-def facts_of(file: Path, told: PlanFile) -> tuple[ifc.Start, plan.Seen, list[tuple[str, float]]]:
+def facts_of(file: Path, told: PlanFile) -> tuple[ifc.BalancerSettings, plan.Seen, list[tuple[str, float]]]:
     """What a marshal would be told and see; raises BadFile with all that no wave can have."""
     errors = [
         f"{file}: method[{at}].repeat: {one.repeat!r}; {', '.join(REPEATS)} are allowed"
@@ -113,7 +113,7 @@
         ifc.Method(
             one.name,
             REPEATS[one.repeat],
-            ifc.Group.ALL,
+            ifc.DedupScope.ALL,
             5000.0,
             one.soft_ms,
             one.hard_ms,
@@ -127,7 +127,7 @@
     caps = wave.caps or tuple(min(1.0, 1.4 * share) for share in wave.stages)
     # A marshal of the model, with what the file says in its place; a plan looks at nothing else.
     known = start_of(Case(marshals=wave.marshals), 0, 0)
-    gate = ifc.Gate.ANY if wave.on_votes == 1 else ifc.Gate.SHARE
+    gate = ifc.PromotionGate.ANY if wave.on_votes == 1 else ifc.PromotionGate.SHARE
     start = replace(
         known,
         methods=methods,
@@ -137,7 +137,7 @@
             known.rollout, stage_shares=wave.stages, tally_ms=wave.tally_ms, tally_sample=wave.tally_sample
         ),
         prices=replace(known.prices, delay=wave.delay_price, harm=wave.harm_price),
-        stated=ifc.Stated(told.stated.false_alarm, told.stated.miss),
+        stated=ifc.ErrorRateTargets(told.stated.false_alarm, told.stated.miss),
     )
     seen = plan.Seen(
         wave.rpcs_per_s,
--- a/brookreach/cli/verdict.py
+++ b/brookreach/cli/verdict.py
@@ -86,7 +86,9 @@
     pairs = []
     for wave in waves_of(file, build):
         old = wave.start.stated
-        stated = ifc.Stated(old.false_alarm if false_alarm is None else false_alarm, old.miss if miss is None else miss)
+        stated = ifc.ErrorRateTargets(
+            old.false_alarm if false_alarm is None else false_alarm, old.miss if miss is None else miss
+        )
         pairs.append((replay.replay(wave), replay.replay(wave, stated), stated))
 
     def lines() -> str:
--- a/brookreach/decide.py
+++ b/brookreach/decide.py
@@ -13,29 +13,35 @@
 from brookreach.desk import BEAT, Desk
 from brookreach.interface import (
     Action,
+    BalancerSettings,
     DeadlineShortened,
-    Ending,
     Event,
     NodeList,
+    Outcome,
+    OutcomeCounts,
     PickEnded,
-    RolloutNews,
-    RpcGone,
-    RpcTaken,
+    RolloutStatus,
+    RpcCancelled,
+    RpcReceived,
     SetTimer,
-    Start,
-    Tally,
-    TimerRang,
+    TimerFired,
 )
 from brookreach.judge import Judge
 from brookreach.parts import Due  # read here by others, as is the next
 from brookreach.parts import Ring as Ring
 from brookreach.roster import COLD_PART as COLD_PART
 
-NOTES = {RpcTaken: "taken_in", DeadlineShortened: "shortened", RpcGone: "gone", PickEnded: "ended", NodeList: "listing"}
+NOTES = {
+    RpcReceived: "taken_in",
+    DeadlineShortened: "shortened",
+    RpcCancelled: "gone",
+    PickEnded: "ended",
+    NodeList: "listing",
+}
 
 
 class Marshal:
-    def __init__(self, start: Start):
+    def __init__(self, start: BalancerSettings):
         self.start, self.acts = start, list[Action]()
         self.due: Due = deque()
 
@@ -55,16 +61,16 @@
 
     def handle(self, now: float, event: Event) -> list[Action]:
         match event:
-            case RpcTaken() | DeadlineShortened() | RpcGone() | PickEnded() | NodeList():
+            case RpcReceived() | DeadlineShortened() | RpcCancelled() | PickEnded() | NodeList():
                 self.desk.tell(NOTES[type(event)], now, event)
-            case TimerRang(token=token):
+            case TimerFired(token=token):
                 self.desk.tell("beat" if token % 4 == BEAT else "rang", now, token // 4, token % 4)
-            case Tally():
+            case OutcomeCounts():
                 self.judge.tell("tally", now, event)
-            case RolloutNews():
+            case RolloutStatus():
                 if event.reply:
                     self.judge.tell("reply", now, event.ending)
-                if event.ending == Ending.OK:
+                if event.ending == Outcome.OK:
                     self.desk.tell("told", now, event)
                     self.judge.tell("told", now, event)
         return self.flush()
--- a/brookreach/desk.py
+++ b/brookreach/desk.py
@@ -6,24 +6,27 @@
 from brookreach.interface import (
     Abort,
     Action,
+    BalancerSettings,
     DeadlineShortened,
-    Ending,
-    Group,
+    DedupScope,
+    Idempotency,
     NodeEntry,
+    Outcome,
     Pick,
     PickEnded,
     PushBack,
-    Repeat,
-    RpcGone,
-    RpcTaken,
+    RpcCancelled,
+    RpcReceived,
     SetTimer,
-    Start,
 )
 from brookreach.judge import Judge
 from brookreach.parts import Due, Ring, Rpc
 from brookreach.roster import CARRIED_MS, ERRING, SILENT, Roster, may_go, may_have_run, window_ms
 
-HARMLESS = {*((Repeat.IDEMPOTENT, group) for group in Group), (Repeat.TOKENED, Group.ALL)}  # run twice
+HARMLESS = {
+    *((Idempotency.IDEMPOTENT, group) for group in DedupScope),
+    (Idempotency.TOKENED, DedupScope.ALL),
+}  # run twice
 HOLD_MS, FEW, MORE = 50.0, 2, 12  # nodes drawn for an RPC at first, and when none of the few can take it
 REST_MS, PACE_MS, LEAST, PRESSED = 30.0, 2000.0, 6, 0.6  # answers a second; RPCs, and of a soft deadline
 RPC_END, RPC_COPY, BEAT, RPC_HELD = 0, 1, 2, 3  # what a timer is for; its token is 4 x RPC + one of these
@@ -33,7 +36,7 @@
 class Desk(Roster):
     """Calls for bids, picks by two random choices, sends again, pushes back, aborts."""
 
-    def __init__(self, due: Due, out: list[Action], start: Start, now: float, judge: Judge):
+    def __init__(self, due: Due, out: list[Action], start: BalancerSettings, now: float, judge: Judge):
         super().__init__(due, out, start, now, judge)
         self.methods, self.rpcs, self.waiting = start.methods, dict[int, Rpc](), dict[int, float]()
         self.usual_ms, self.usual_cost = [m.soft_ms / 5.0 for m in start.methods], dict[int, float]()
@@ -41,7 +44,7 @@
         self.spare, self.usual, self.suspect = 1.0, FLOOR, True  # spare: second copies
         self.flow, self.good = Ring(1000.0, 10), Ring(PACE_MS, 8)  # taken; answered in time
 
-    def taken_in(self, now: float, event: RpcTaken) -> None:
+    def taken_in(self, now: float, event: RpcReceived) -> None:
         rpc = self.rpcs[event.rpc] = Rpc(now, event, self.methods[event.method])
         taken = self.ring(rpc.method, 0)
         taken.add(now, event.unread_ms < 0.5 * taken.width)  # read late, its window may be over
@@ -128,7 +131,7 @@
             write_ms = min(write_ms, ring.width)
         self.nodes[entry.node].tell("took", now, rpc.cost or self.usual_ms[rpc.method])
         self.acts.append(Pick(rpc.id, entry.node, rpc.end - now - 5.0, write_ms, REST_MS))
-        if len(rpc.picks) == 1 and self.permits.second_copies and rpc.facts.repeat == Repeat.IDEMPOTENT:
+        if len(rpc.picks) == 1 and self.permits.second_copies and rpc.facts.repeat == Idempotency.IDEMPOTENT:
             after = max(3.0 * self.typical(rpc), 0.25 * rpc.facts.soft_ms)
             self.acts.append(SetTimer(after, 4 * rpc.id + RPC_COPY))
 
@@ -161,7 +164,7 @@
             self.spare -= 1.0
             self.tell("ask", now, rpc)
 
-    def gone(self, now: float, event: RpcGone) -> None:
+    def gone(self, now: float, event: RpcCancelled) -> None:
         if event.rpc in self.rpcs:
             self.finish(self.rpcs[event.rpc])
 
@@ -173,7 +176,7 @@
         entry, pick[2] = pick[0], event.ending
         long = self.long(now, typical, rpc.facts.soft_ms, entry.build)
         self.nodes[entry.node].tell("ended", now, event, entry, pick[1], typical, long, self.usual)
-        if event.ending == Ending.OK:
+        if event.ending == Outcome.OK:
             if self.few and event.final and now < rpc.soft:
                 self.good.add(now)
             work = min(event.took_ms, 0.5 * rpc.facts.soft_ms)  # queues are no work
@@ -182,10 +185,10 @@
                 self.carried.add(now, rpc.cost or self.usual_ms[rpc.method])
             if self.exposure.one_way and rpc.key and on_trial(self.news, entry.build):
                 self.one_way[rpc.key] = max(entry.build, self.one_way.get(rpc.key, 0))
-        if not self.few and event.ending in (Ending.OK, Ending.FULL, Ending.TIMEOUT):
+        if not self.few and event.ending in (Outcome.OK, Outcome.FULL, Outcome.TIMEOUT):
             self.ends.add(now)
-            self.lates.add(now, event.ending != Ending.OK or event.took_ms > 0.6 * rpc.facts.soft_ms)
-        if self.few and event.ending in (Ending.OK, Ending.TIMEOUT):
+            self.lates.add(now, event.ending != Outcome.OK or event.took_ms > 0.6 * rpc.facts.soft_ms)
+        if self.few and event.ending in (Outcome.OK, Outcome.TIMEOUT):
             drag = 0.07 * math.log(max(1.0, event.took_ms / typical))
             for key in (self.side(entry.build), NEAR if entry.zone == self.place.zone else FAR):
                 self.drags[key] = 0.93 * self.drags.get(key, 0.0) + drag
--- a/brookreach/enumerations.py
+++ b/brookreach/enumerations.py
@@ -6,7 +6,7 @@
 from enum import IntEnum
 
 
-class Repeat(IntEnum):
+class Idempotency(IntEnum):
     """Whether an RPC of a method may run more than once."""
 
     IDEMPOTENT = 0
@@ -14,7 +14,7 @@
     NON_IDEMPOTENT = 2
 
 
-class Group(IntEnum):
+class DedupScope(IntEnum):
     """Which nodes drop the repeats of a tokened RPC."""
 
     ALL = 0
@@ -28,7 +28,7 @@
     DRAINING = 2
 
 
-class Ending(IntEnum):
+class Outcome(IntEnum):
     """How a pick, a probe or a vote ended."""
 
     OK = 0
@@ -55,14 +55,14 @@
     BACK = 3
 
 
-class Phase(IntEnum):
+class RolloutPhase(IntEnum):
     ON_TRIAL = 0
     GOING_BACK = 1
     RELEASED = 2
     WITHDRAWN = 3
 
 
-class Gate(IntEnum):
+class PromotionGate(IntEnum):
     """What moves a build on: one vote, a share of the votes, or a clock."""
 
     ANY = 0
@@ -70,7 +70,7 @@
     CLOCK = 2
 
 
-class Load(IntEnum):
+class LoadMetric(IntEnum):
     """What a node's load report holds."""
 
     INFLIGHT = 0
--- a/brookreach/facts.py
+++ b/brookreach/facts.py
@@ -1,4 +1,4 @@
-"""Reads the settings that a marshal is told at its start into `Start`.
+"""Reads the settings that a marshal is told at its start into `BalancerSettings`.
 
 Both adapters share it: the simulator's first message and a real marshal's configuration hold the same object.
 It owns the settings' names, words and units; it must never decide anything, nor make up a value not told.
@@ -13,19 +13,19 @@
 from brookreach.settings_reader import SettingsError, SettingsObject, meaning, shown
 
 REPEATS = {
-    "read_like": ifc.Repeat.IDEMPOTENT,
-    "idempotency_key": ifc.Repeat.TOKENED,
-    "non_idempotent": ifc.Repeat.NON_IDEMPOTENT,
+    "read_like": ifc.Idempotency.IDEMPOTENT,
+    "idempotency_key": ifc.Idempotency.TOKENED,
+    "non_idempotent": ifc.Idempotency.NON_IDEMPOTENT,
 }
-GROUPS = {"all": ifc.Group.ALL, "zone": ifc.Group.ZONE, "cell": ifc.Group.CELL}
-GATES = {"any": ifc.Gate.ANY, "share": ifc.Gate.SHARE, "timer": ifc.Gate.CLOCK}
+GROUPS = {"all": ifc.DedupScope.ALL, "zone": ifc.DedupScope.ZONE, "cell": ifc.DedupScope.CELL}
+GATES = {"any": ifc.PromotionGate.ANY, "share": ifc.PromotionGate.SHARE, "timer": ifc.PromotionGate.CLOCK}
 LOADS = {
-    "busy_reqs": ifc.Load.INFLIGHT,
-    "pending": ifc.Load.QUEUED,
-    "cpu_share": ifc.Load.CPU_SHARE,
-    "svc_ms": ifc.Load.SERVICE_MS,
-    "served_ps": ifc.Load.RATE,
-    "failed_ps": ifc.Load.ERROR_RATE,
+    "busy_reqs": ifc.LoadMetric.INFLIGHT,
+    "pending": ifc.LoadMetric.QUEUED,
+    "cpu_share": ifc.LoadMetric.CPU_SHARE,
+    "svc_ms": ifc.LoadMetric.SERVICE_MS,
+    "served_ps": ifc.LoadMetric.RATE,
+    "failed_ps": ifc.LoadMetric.ERROR_RATE,
 }
 LISTS_ON_REQUEST = {"push": False, "ask": True}
 CAPS_BY_METHOD = {"all": False, "class": True}
@@ -37,13 +37,13 @@
     return us / 1000.0
 
 
-def start_from(seed: int, told: Mapping[str, Any]) -> ifc.Start:
+def start_from(seed: int, told: Mapping[str, Any]) -> ifc.BalancerSettings:
     """The settings as told, in our units; raises SettingsError for the first that is not as agreed."""
     settings = SettingsObject(told, "settings")
     allowed, guards, family = (settings.object(key) for key in ("allowed", "guarantees", "familyInfo"))
     fees, report = settings.object("fees"), settings.object("report")
     fields = report.items("fields") if report.word("via", REPORTED) else []
-    return ifc.Start(
+    return ifc.BalancerSettings(
         seed=seed,
         place=_place(settings),
         methods=_methods(settings),
@@ -52,7 +52,7 @@
             for one in settings.objects("tenants")
         ),
         over_share_utility=settings.number("overShareWorth"),
-        permits=ifc.Permits(
+        permits=ifc.AllowedActions(
             allowed.flag("cancel"),
             allowed.flag("probes"),
             allowed.flag("secondCopies"),
@@ -63,7 +63,7 @@
             allowed.count("mostHeld"),
             settings.word("registryMode", LISTS_ON_REQUEST),
         ),
-        guards=ifc.Guards(
+        guards=ifc.SafetyLimits(
             guards.ms("answerSlackUs"),
             guards.ms("askWithinUs"),
             guards.number("coldShare", 1.0),
@@ -84,7 +84,7 @@
             family.ms("minDwellUs"),
             family.ms("movesAfterUs"),
         ),
-        rollout=ifc.Rollout(
+        rollout=ifc.RolloutSettings(
             family.numbers("stageShare", 1.0),
             family.word("replaceMode", IN_PLACE),
             family.ms("newsPeriodUs"),
@@ -106,8 +106,8 @@
     )
 
 
-def _place(settings: SettingsObject) -> ifc.Place:
-    place = ifc.Place(settings.count("myZone"), settings.count("ordinal"), settings.count("balancers"))
+def _place(settings: SettingsObject) -> ifc.FleetPosition:
+    place = ifc.FleetPosition(settings.count("myZone"), settings.count("ordinal"), settings.count("balancers"))
     if place.ordinal >= place.marshals:
         raise settings.wrong("ordinal", f"below settings.balancers, {place.marshals}")
     zones = len(settings.items("zones")) if "zones" in settings.values else 0
--- a/brookreach/interface.py
+++ b/brookreach/interface.py
@@ -11,8 +11,30 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from brookreach.enumerations import Ending, Gate, Group, ListKind, Load, NodeState, Phase, Repeat, Verdict
-from brookreach.startup import Exposure, Guards, Method, Permits, Place, Prices, Rollout, Start, Stated, Tenant, Voting
+from brookreach.enumerations import (
+    DedupScope,
+    Idempotency,
+    ListKind,
+    LoadMetric,
+    NodeState,
+    Outcome,
+    PromotionGate,
+    RolloutPhase,
+    Verdict,
+)
+from brookreach.startup import (
+    AllowedActions,
+    BalancerSettings,
+    ErrorRateTargets,
+    Exposure,
+    FleetPosition,
+    Method,
+    Prices,
+    RolloutSettings,
+    SafetyLimits,
+    Tenant,
+    Voting,
+)
 
 # --- events ---
 
@@ -37,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RpcTaken:
+class RpcReceived:
     """A client's RPC, to be answered by `deadline_ms`. It may have come `unread_ms` before it was read."""
 
     rpc: int
@@ -60,7 +82,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RpcGone:
+class RpcCancelled:
     rpc: int
 
 
@@ -69,22 +91,22 @@
     rpc: int
     nth: int
     node: int
-    ending: Ending
+    ending: Outcome
     final: bool
     took_ms: float
-    load: Mapping[Load, float]
+    load: Mapping[LoadMetric, float]
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeEnded:
     node: int
-    ending: Ending
+    ending: Outcome
     took_ms: float
-    load: Mapping[Load, float]
+    load: Mapping[LoadMetric, float]
 
 
 @dataclass(frozen=True, slots=True)
-class StreamBegun:
+class StreamStarted:
     rpc: int
     nth: int
     node: int
@@ -92,23 +114,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TimerRang:
+class TimerFired:
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class RolloutNews:
+class RolloutStatus:
     reply: bool
-    ending: Ending
+    ending: Outcome
     stage: int
     cap: float
-    phase: Phase
+    phase: RolloutPhase
     age_ms: float
     build: int
 
 
 @dataclass(frozen=True, slots=True)
-class Tally:
+class OutcomeCounts:
     build: int
     method: int
     age_ms: float
@@ -118,7 +140,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Disputed:
+class DisputedAnswer:
     node: int
     method: int
     age_ms: float
@@ -132,16 +154,16 @@
 
 Event = (
     NodeList
-    | RpcTaken
+    | RpcReceived
     | DeadlineShortened
-    | RpcGone
+    | RpcCancelled
     | PickEnded
     | ProbeEnded
-    | StreamBegun
-    | TimerRang
-    | RolloutNews
-    | Tally
-    | Disputed
+    | StreamStarted
+    | TimerFired
+    | RolloutStatus
+    | OutcomeCounts
+    | DisputedAnswer
     | PeerMessage
 )
 
@@ -202,17 +224,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FetchList:
+class FetchNodeList:
     pass
 
 
 @dataclass(frozen=True, slots=True)
-class FollowList:
+class WatchNodeList:
     on: bool
 
 
 @dataclass(frozen=True, slots=True)
-class TellPeer:
+class SendToPeer:
     peer: int | None  # None: all
     octets: bytes
 
@@ -223,7 +245,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
+class DecisionFault:
     """The decision code failed; only an adapter says this."""
 
     text: str
@@ -238,9 +260,9 @@
     | Probe
     | CloseIdle
     | Vote
-    | FetchList
-    | FollowList
-    | TellPeer
+    | FetchNodeList
+    | WatchNodeList
+    | SendToPeer
     | LogLine
-    | Fault
+    | DecisionFault
 )
--- a/brookreach/model/figures.py
+++ b/brookreach/model/figures.py
@@ -18,7 +18,7 @@
 from brookreach.verdict import replay  # noqa: E402
 
 
-def operating(start: ifc.Start, seen: plans.Seen) -> Figure:
+def operating(start: ifc.BalancerSettings, seen: plans.Seen) -> Figure:
     """The chance of a release by the size of each effect, with the stated rates as lines."""
     plans.check(start, seen)
     judge = plans.judge_of(start, seen)
--- a/brookreach/net/driver.py
+++ b/brookreach/net/driver.py
@@ -32,14 +32,14 @@
 
 class Driver:
     def __init__(
-        self, start: ifc.Start, limits: Limits, report: Report, clock: Clock, poller: Poller, drain: Drain
+        self, start: ifc.BalancerSettings, limits: Limits, report: Report, clock: Clock, poller: Poller, drain: Drain
     ) -> None:
         self.start, self.limits, self.report, self.clock = start, limits, report, clock
         self.methods = {method.name.encode(): at for at, method in enumerate(start.methods)}
         self.queue: deque[ifc.Event | PickOutcome] = deque()
         self.drain, self.timers, self.taken = drain, Timers(), 0
         self.open = OpenRpcs()
-        self.news: ifc.RolloutNews | None = None
+        self.news: ifc.RolloutStatus | None = None
         self.poller = poller
         self.waiting: anyio.CancelScope | None = None  # while the task has nothing to do
         self.nodes = Nodes(limits, report, poller, self)
@@ -54,7 +54,9 @@
 
     def put_off(self, vote: ifc.Vote) -> None:
         """A vote before the platform's part has started: it may be said again."""
-        self.put(ifc.RolloutNews(True, ifc.Ending.NO_CONNECT, vote.stage, 0.0, ifc.Phase.ON_TRIAL, 0.0, vote.build))
+        self.put(
+            ifc.RolloutStatus(True, ifc.Outcome.NO_CONNECT, vote.stage, 0.0, ifc.RolloutPhase.ON_TRIAL, 0.0, vote.build)
+        )
 
     def spare_links(self) -> int:
         """Connections to nodes that may still be made."""
@@ -74,7 +76,7 @@
         self.open.add(self.taken + 1, OpenRpc(statement, slot))
         self.taken += 1
         self.put(
-            ifc.RpcTaken(
+            ifc.RpcReceived(
                 self.taken,
                 method,
                 tenant=0,
@@ -105,7 +107,7 @@
             self.report.say("rpc", held.unanswered(why))
             for nth in range(held.picks):
                 self.nodes.unwanted(rpc, nth)
-            self.put(ifc.RpcGone(rpc))
+            self.put(ifc.RpcCancelled(rpc))
 
     def wanted(self, rpc: int) -> bool:
         return rpc in self.open
@@ -156,7 +158,7 @@
                 except Exception:  # a defect that one time-out met stays with it
                     self.report.say("fault", traceback.format_exc(limit=-2))
             else:
-                self._handle(now, ifc.TimerRang(what))
+                self._handle(now, ifc.TimerFired(what))
             did = True
         if self.queue:
             event = self.queue.popleft()
@@ -167,13 +169,13 @@
     def _ended(self, outcome: PickOutcome) -> ifc.PickEnded:
         """The first ok goes to the client at once; the module hears that it was final."""
         rpc, ending = outcome.rpc, outcome.ending
-        if ending == ifc.Ending.OK:
+        if ending == ifc.Outcome.OK:
             self.open.answer(rpc, [*outcome.answer, pgwire.READY], "served")
         final = rpc not in self.open
         return ifc.PickEnded(rpc, outcome.nth, outcome.node, ending, final, outcome.took_ms, {})
 
     def _handle(self, now: float, event: ifc.Event) -> None:
-        if isinstance(event, ifc.RolloutNews) and event.ending == ifc.Ending.OK:
+        if isinstance(event, ifc.RolloutStatus) and event.ending == ifc.Outcome.OK:
             if self.news is None or event.cap < self.news.cap or event.build != self.news.build:
                 self.nodes.cap_fell(event.build)
             self.news = event
@@ -182,7 +184,7 @@
         except Exception:
             self._failed(traceback.format_exc(limit=-2))
             return
-        if isinstance(event, ifc.RpcGone):
+        if isinstance(event, ifc.RpcCancelled):
             self.open.left_heard(event.rpc)
         if self.watch is not None:
             for one in (event, *actions):
@@ -235,7 +237,7 @@
         held = self.open.get(pick.rpc)
         if held is None:  # its client left in the same moment
             nth = self.open.number_left_pick(pick.rpc)
-            self.put(PickOutcome(pick.rpc, nth, pick.node, ifc.Ending.MOOT, 0.0, []))
+            self.put(PickOutcome(pick.rpc, nth, pick.node, ifc.Outcome.MOOT, 0.0, []))
             return
         held.picks += 1
         self.nodes.pick(pick, held.picks - 1, held.statement)
--- a/brookreach/net/in_flight.py
+++ b/brookreach/net/in_flight.py
@@ -15,7 +15,7 @@
 from brookreach.net.poller import Expiring
 from brookreach.net.statement import Statement
 
-Ending = ifc.Ending
+Outcome = ifc.Outcome
 PROBE = pgwire.query(b"SELECT 1")
 
 
@@ -23,7 +23,7 @@
     """How a pick ended; `answer` are the node's messages where it ended ok."""
 
     def __init__(
-        self, rpc: int, nth: int, node: int, ending: ifc.Ending, took_ms: float, answer: list[bytes | memoryview]
+        self, rpc: int, nth: int, node: int, ending: ifc.Outcome, took_ms: float, answer: list[bytes | memoryview]
     ) -> None:
         self.rpc, self.nth, self.node, self.ending = rpc, nth, node, ending
         self.took_ms, self.answer = took_ms, answer
@@ -93,15 +93,15 @@
         """Its time is over."""
         if self.link is not None and not self.done:
             self.link.read_now()  # in a long turn its answer may have come, and not been looked at
-        self.stop(Ending.TIMEOUT)
+        self.stop(Outcome.TIMEOUT)
 
-    def stop(self, ending: ifc.Ending) -> None:
+    def stop(self, ending: ifc.Outcome) -> None:
         """End it by time or by the module's wish. Before its last byte was written, it never ran."""
         if self.done:
             return
         link = self.link
         if link is None or not link.written():
-            ending = Ending.NO_CONNECT if ending == Ending.TIMEOUT else Ending.MOOT
+            ending = Outcome.NO_CONNECT if ending == Outcome.TIMEOUT else Outcome.MOOT
         if link is not None:
             link.drop()  # before the outcome is told: a further pick must be no second copy
         self.end(ending, [])
@@ -109,9 +109,9 @@
     def cut_half(self) -> None:
         """A query of which the kernel took only a part is never made whole."""
         if self.link is not None and self.link.is_half_written():
-            self.stop(Ending.MOOT)
+            self.stop(Outcome.MOOT)
 
-    def end(self, ending: ifc.Ending, answer: list[bytes | memoryview]) -> None:
+    def end(self, ending: ifc.Outcome, answer: list[bytes | memoryview]) -> None:
         """Tell its outcome, once."""
         if self.done:
             return
--- a/brookreach/net/nodes.py
+++ b/brookreach/net/nodes.py
@@ -12,7 +12,7 @@
 from brookreach import interface as ifc
 from brookreach.net import pgwire
 from brookreach.net.endpoint import Endpoint, Listed
-from brookreach.net.in_flight import Ending, HalfWritten, InFlight, Owner, PickOutcome
+from brookreach.net.in_flight import HalfWritten, InFlight, Outcome, Owner, PickOutcome
 from brookreach.net.limits import Limits
 from brookreach.net.link import Link, LinkTable
 from brookreach.net.poller import Poller
@@ -83,7 +83,7 @@
     def pick(self, pick: ifc.Pick, nth: int, statement: Statement) -> None:
         endpoint = self.endpoints.get(pick.node)
         if endpoint is None:
-            self.owner.put(PickOutcome(pick.rpc, nth, pick.node, Ending.MOOT, 0.0, []))
+            self.owner.put(PickOutcome(pick.rpc, nth, pick.node, Outcome.MOOT, 0.0, []))
             return
         flight = InFlight(self.owner, self.in_flight, endpoint, pick.rpc, nth, pick.wait_ms, pick.write_ms, statement)
         self.in_flight[pick.rpc, nth] = flight
@@ -95,7 +95,7 @@
     def cancel(self, rpc: int, nth: int) -> None:
         flight = self.in_flight.get((rpc, nth))
         if flight is not None:
-            flight.stop(Ending.CANCELLED)
+            flight.stop(Outcome.CANCELLED)
 
     def unwanted(self, rpc: int, nth: int) -> None:
         """Its client has gone: a query that is not whole yet is never made so."""
@@ -139,13 +139,13 @@
             return
         if self.links >= self.limits.links and not self._spare_one():
             self.report.say("nodes", f"all {self.limits.links} connections are taken: picks are not sent")
-            flight.end(Ending.MOOT, [])
+            flight.end(Outcome.MOOT, [])
             return
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         except OSError as error:  # out of descriptors or buffers
             self.report.say("nodes", f"no socket: {error}")
-            flight.end(Ending.MOOT, [])
+            flight.end(Outcome.MOOT, [])
             return
         self.table.count += 1
         link = Link(self.table, endpoint, sock, flight)
--- a/brookreach/net/platform.py
+++ b/brookreach/net/platform.py
@@ -24,21 +24,21 @@
 from brookreach.net.report import Report
 
 PHASES = {
-    "Progressing": ifc.Phase.ON_TRIAL,
-    "Aborting": ifc.Phase.GOING_BACK,
-    "Healthy": ifc.Phase.RELEASED,
-    "Aborted": ifc.Phase.WITHDRAWN,
+    "Progressing": ifc.RolloutPhase.ON_TRIAL,
+    "Aborting": ifc.RolloutPhase.GOING_BACK,
+    "Healthy": ifc.RolloutPhase.RELEASED,
+    "Aborted": ifc.RolloutPhase.WITHDRAWN,
 }
 REMEMBERED_SAMPLES = 32  # by which one that is told again is known
 VERDICTS = {ifc.Verdict.NONE: "blank", ifc.Verdict.ON: "go", ifc.Verdict.HOLD: "stay", ifc.Verdict.BACK: "stop"}
-STATUSES = {429: ifc.Ending.FULL, 409: ifc.Ending.MOOT, 500: ifc.Ending.ERROR, 400: ifc.Ending.ERROR}
+STATUSES = {429: ifc.Outcome.FULL, 409: ifc.Outcome.MOOT, 500: ifc.Outcome.ERROR, 400: ifc.Outcome.ERROR}
 
 
-def news_from(told: Mapping[str, Any], stages: int, reply: bool = False) -> ifc.RolloutNews:
+def news_from(told: Mapping[str, Any], stages: int, reply: bool = False) -> ifc.RolloutStatus:
     stage, cap, age = int(told["step"]), float(told["maxWeight"]), float(told["observedAgoMs"])
     if not 0 <= stage < stages or not 0.0 <= cap < math.inf or not 0.0 <= age < math.inf:
         raise ValueError("step, maxWeight or observedAgoMs out of range")
-    return ifc.RolloutNews(reply, ifc.Ending.OK, stage, cap, PHASES[told["status"]], age, int(told["version"]))
+    return ifc.RolloutStatus(reply, ifc.Outcome.OK, stage, cap, PHASES[told["status"]], age, int(told["version"]))
 
 
 class Platform:
@@ -70,7 +70,7 @@
     async def vote(self, vote: ifc.Vote) -> None:
         """One call on a connection of its own, so that no idle close and no other answer can meet it."""
         said = {"version": vote.build, "step": vote.stage, "vote": VERDICTS[vote.verdict]}
-        ending, http = ifc.Ending.NO_CONNECT, None
+        ending, http = ifc.Outcome.NO_CONNECT, None
         news = None
         with anyio.move_on_after(self.limits.reply_s):
             try:
@@ -80,7 +80,7 @@
                 if status == 200:
                     news = news_from(json.loads(body), self.stages, reply=True)
                 else:
-                    ending = STATUSES.get(status, ifc.Ending.TIMEOUT)
+                    ending = STATUSES.get(status, ifc.Outcome.TIMEOUT)
                     if status not in (429, 409):
                         self.report.say("platform", f"vote answered {status} {body[:100]!r}")
             except (*LOST, *BAD_JSON) as error:
@@ -90,9 +90,9 @@
         if http is not None:
             await http.close()
         if news is None:
-            if ending == ifc.Ending.NO_CONNECT and http is not None and http.written:
-                ending = ifc.Ending.TIMEOUT  # it may have been carried out
-            news = ifc.RolloutNews(True, ending, vote.stage, 0.0, ifc.Phase.ON_TRIAL, 0.0, vote.build)
+            if ending == ifc.Outcome.NO_CONNECT and http is not None and http.written:
+                ending = ifc.Outcome.TIMEOUT  # it may have been carried out
+            news = ifc.RolloutStatus(True, ending, vote.stage, 0.0, ifc.RolloutPhase.ON_TRIAL, 0.0, vote.build)
         self.put(news)
 
     async def follow(self) -> None:
@@ -145,9 +145,9 @@
             self.samples.append(line)
             self.put(self._tally(told["object"]))
 
-    def _tally(self, told: Mapping[str, Any]) -> ifc.Tally:
+    def _tally(self, told: Mapping[str, Any]) -> ifc.OutcomeCounts:
         age, mean = float(told["observedAgoMs"]), float(told["avgMs"])
         failed, count = int(told["failures"]), int(told["requests"])
         if not 0 <= failed <= count or not 0.0 <= age < math.inf or not 0.0 <= mean < math.inf:
             raise ValueError("a tally's figures out of range")
-        return ifc.Tally(int(told["version"]), self.methods[told["kind"]], age, failed, count, mean)
+        return ifc.OutcomeCounts(int(told["version"]), self.methods[told["kind"]], age, failed, count, mean)
--- a/brookreach/parts.py
+++ b/brookreach/parts.py
@@ -12,7 +12,7 @@
 from itertools import accumulate
 from typing import Any
 
-from brookreach.interface import Method, NodeEntry, RpcTaken
+from brookreach.interface import Method, NodeEntry, RpcReceived
 
 Due = deque[Any]  # the loop's order of work: a part, once for each note in its inbox
 
@@ -30,7 +30,7 @@
 class Rpc:
     """What the desk holds of one RPC; `picks` are [node entry, sent at, ending or None]."""
 
-    def __init__(self, now: float, event: RpcTaken, facts: Method):
+    def __init__(self, now: float, event: RpcReceived, facts: Method):
         self.id, self.method, self.facts = event.rpc, event.method, facts
         self.cost, self.key = event.cost_ms, event.key
         self.end, soft = event.deadline_ms, facts.soft_ms + facts.soft_stretch * (event.cost_ms or 0.0)
--- a/brookreach/roster.py
+++ b/brookreach/roster.py
@@ -10,23 +10,23 @@
 from brookreach.charts import BACKWARDS, BEAT_MS, NEVER_RAN, failure_step, on_trial, sees_few, warmth
 from brookreach.interface import (
     Action,
-    Ending,
-    Group,
-    Guards,
+    BalancerSettings,
+    DedupScope,
+    Idempotency,
     ListKind,
     LogLine,
     NodeEntry,
     NodeList,
     NodeState,
+    Outcome,
     PickEnded,
-    Repeat,
-    RolloutNews,
-    Start,
+    RolloutStatus,
+    SafetyLimits,
 )
 from brookreach.judge import Judge
 from brookreach.parts import Due, Part, Ring, Rpc, Side
 
-FAILED = (Ending.NO_CONNECT, Ending.ERROR, Ending.RESET)
+FAILED = (Outcome.NO_CONNECT, Outcome.ERROR, Outcome.RESET)
 WELL, ERRING, SILENT = 0, 1, 2  # how sick a node is
 LONG, CARRIED_MS, COLD_PART = 3.0, 4000.0, 0.4  # LONG: of what picks take; the others of the cold rule
 
@@ -37,19 +37,19 @@
 
 def window_ms(rpc: Rpc, now: float) -> float:
     """How much longer a further pick of a tokened RPC may be written."""
-    tokened = rpc.facts.repeat == Repeat.TOKENED
+    tokened = rpc.facts.repeat == Idempotency.TOKENED
     return min([sent + rpc.facts.token_ms - now for _, sent, _ in may_have_run(rpc) if tokened] or [math.inf])
 
 
 def may_go(rpc: Rpc, entry: NodeEntry, now: float, copies: bool) -> bool:
     """Whether the method's kind lets this RPC have a pick at this node now."""
     ran, group = may_have_run(rpc), rpc.facts.group
-    if ran and (rpc.facts.repeat == Repeat.NON_IDEMPOTENT or (rpc.pending() and not copies)):
+    if ran and (rpc.facts.repeat == Idempotency.NON_IDEMPOTENT or (rpc.pending() and not copies)):
         return False
-    return rpc.facts.repeat == Repeat.IDEMPOTENT or (
+    return rpc.facts.repeat == Idempotency.IDEMPOTENT or (
         window_ms(rpc, now) > 0.0
         and all(
-            group == Group.ALL or (entry.zone == old.zone and (group == Group.ZONE or entry.cell == old.cell))
+            group == DedupScope.ALL or (entry.zone == old.zone and (group == DedupScope.ZONE or entry.cell == old.cell))
             for old, _, _ in ran
         )
     )
@@ -58,7 +58,7 @@
 class Node(Part):
     """One node as this marshal sees it: its picks, its speed, its health, how cold it may be."""
 
-    def __init__(self, due: Due, desk: Roster, entry: NodeEntry, guards: Guards, phase: float, few: bool):
+    def __init__(self, due: Due, desk: Roster, entry: NodeEntry, guards: SafetyLimits, phase: float, few: bool):
         super().__init__(due)
         self.desk, self.guards, self.phase, self.few = desk, guards, phase, few
         # Log odds: where I see few, one failure must do where failures are rare; else two, or more.
@@ -106,11 +106,11 @@
         self.sent.remove(sent)
         if (at.started_ms, at.build) != (entry.started_ms, entry.build):
             return  # it tells of what ran here before
-        bad = ending in FAILED or (slow and (ending == Ending.TIMEOUT or (ending == Ending.OK and self.few)))
+        bad = ending in FAILED or (slow and (ending == Outcome.TIMEOUT or (ending == Outcome.OK and self.few)))
         # One failure tells of this node only where failures are rare: `usual` is most nodes' share of them.
         self.tried, self.failed = 0.95 * self.tried + 1.0, 0.95 * self.failed + bad
         self.doubt = max(0.0, self.doubt + failure_step(bad, usual, 0.5))
-        if ending == Ending.OK:
+        if ending == Outcome.OK:
             pace = min(20.0, event.took_ms / typical * warmth(entry, now, self.guards))
             self.slow += 0.1 * (pace - self.slow)
             if self.shy_ms and now >= self.shy_until and self.doubt < 0.3 * self.most_doubt:
@@ -120,21 +120,21 @@
         if bad and now >= self.shy_until and self.doubt >= self.most_doubt:
             self.doubt = 0.5 * self.most_doubt
             self.shy_ms = min(16.0 * self.least_ms, max(self.least_ms, 2.0 * self.shy_ms))
-            self.shy_until, self.ails = now + self.shy_ms, ERRING if ending == Ending.ERROR else SILENT
+            self.shy_until, self.ails = now + self.shy_ms, ERRING if ending == Outcome.ERROR else SILENT
             self.desk.acts.append(LogLine(f"node {entry.node} shunned {self.shy_ms:.0f} ms, {ending.name}"))
 
 
 class Roster(Part):
     """The nodes as listed; the ready ones by side: each build on trial is one, and all that are not."""
 
-    def __init__(self, due: Due, out: list[Action], start: Start, now: float, judge: Judge):
+    def __init__(self, due: Due, out: list[Action], start: BalancerSettings, now: float, judge: Judge):
         super().__init__(due)
         self.acts, self.place, self.began, self.judge = out, start.place, now, judge
         self.permits, self.prices, self.guards = start.permits, start.prices, start.guards
         self.chance, self.exposure = random.Random(start.seed), start.exposure
         self.rings = dict[tuple[int, int], Ring]()  # by method and build; build 0: RPCs taken
         self.nodes, self.entries = dict[int, Node](), dict[int, NodeEntry]()
-        self.news: RolloutNews | None = None
+        self.news: RolloutStatus | None = None
         self.field = dict[int, tuple[Side, Side]]()  # by side: the ready nodes, and the near ones again
         self.survey_at, self.warm_size, self.few = now, 0.0, sees_few(start)
         self.drags, self.one_way = dict[int, float](), dict[int, int]()
@@ -155,7 +155,7 @@
         self.survey_at = now
         self.judge.tell("listed", [e for e in self.entries.values() if e.state == NodeState.READY])
 
-    def told(self, now: float, news: RolloutNews) -> None:
+    def told(self, now: float, news: RolloutStatus) -> None:
         low = math.inf if news.phase in BACKWARDS else min([e.build for e in self.entries.values()] or [0])
         self.one_way = {k: build for k, build in self.one_way.items() if build > low}
         self.rings = {key: ring for key, ring in self.rings.items() if not key[1] or key[1] >= news.build}
@@ -214,7 +214,7 @@
         news = self.news
         assert news is not None
         stage, cap = (news.stage, news.cap) if build == news.build else (0, self.exposure.caps[0])
-        if stage < self.exposure.closed_stages and rpc.facts.repeat != Repeat.IDEMPOTENT:
+        if stage < self.exposure.closed_stages and rpc.facts.repeat != Idempotency.IDEMPOTENT:
             return False
         free = self.exposure.free if now - self.began > self.exposure.window_ms else 0.0  # spent before
         taken = self.ring(rpc.method, 0).total(now, inner=True)
--- a/brookreach/scale/marshal_lists.py
+++ b/brookreach/scale/marshal_lists.py
@@ -70,7 +70,7 @@
 
     def next_rpc(self) -> None:
         self.rpcs += 1
-        taken = ifc.RpcTaken(self.rpcs, 0, 0, 0, self.now + WAIT_MS, None, False, False)
+        taken = ifc.RpcReceived(self.rpcs, 0, 0, 0, self.now + WAIT_MS, None, False, False)
         self.parts.driver.marshal.handle(self.now, taken)
 
     def whole(self) -> ListCost:
--- a/brookreach/scale/marshal_load.py
+++ b/brookreach/scale/marshal_load.py
@@ -50,7 +50,7 @@
     nth: int
     node: int
     took_ms: float
-    ending: ifc.Ending
+    ending: ifc.Outcome
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,13 +63,13 @@
     """The platform answers a vote."""
 
 
-Occasion = Arrival | Answer | ListChange | Reply | ifc.TimerRang
+Occasion = Arrival | Answer | ListChange | Reply | ifc.TimerFired
 
 
 class Load:
     """One marshal, its clients, nodes and platform in one thread."""
 
-    def __init__(self, start: ifc.Start, situation: Situation, seed: int, meter: Meter) -> None:
+    def __init__(self, start: ifc.BalancerSettings, situation: Situation, seed: int, meter: Meter) -> None:
         self.start, self.situation, self.meter = start, situation, meter
         self.chance, self.now = random.Random(seed), BEGIN_MS
         self.due: list[tuple[float, int, Occasion]] = []
@@ -109,9 +109,9 @@
                 self.set(self.situation.every_ms, what)
             case Reply():
                 self.handle(self.situation.news(reply=True), self.spent.news.append)
-            case ifc.TimerRang(token=token) if token % TIMERS_PER_RPC == BEAT:
+            case ifc.TimerFired(token=token) if token % TIMERS_PER_RPC == BEAT:
                 self.handle(what, self.spent.beats.append)
-            case ifc.TimerRang(token=token):
+            case ifc.TimerFired(token=token):
                 self.handle_for(token // TIMERS_PER_RPC, what)
 
     def arrive(self) -> None:
@@ -119,13 +119,13 @@
         self.open[self.taken] = 0
         method = self.chance.randrange(len(self.start.methods))
         tenant = self.taken % len(self.start.tenants) if self.start.tenants else 0
-        taken = ifc.RpcTaken(self.taken, method, tenant, 0, self.now + WAIT_MS, None, False, False)
+        taken = ifc.RpcReceived(self.taken, method, tenant, 0, self.now + WAIT_MS, None, False, False)
         if self.taken < self.wanted:
             self.set(self.chance.expovariate(RATE_PER_S / 1000.0), Arrival())
         self.handle_for(self.taken, taken)
 
     def answer(self, answer: Answer) -> None:
-        if answer.ending == ifc.Ending.OK and self.open.pop(answer.rpc, None) is not None:
+        if answer.ending == ifc.Outcome.OK and self.open.pop(answer.rpc, None) is not None:
             self.answered += 1
         final = answer.rpc not in self.open
         ended = ifc.PickEnded(answer.rpc, answer.nth, answer.node, answer.ending, final, answer.took_ms, {})
@@ -153,7 +153,7 @@
                 case ifc.Pick():
                     self.pick(action)
                 case ifc.SetTimer():
-                    self.set(action.delay_ms, ifc.TimerRang(action.token))
+                    self.set(action.delay_ms, ifc.TimerFired(action.token))
                 case ifc.PushBack() | ifc.Abort():
                     self.open.pop(action.rpc, None)
                 case ifc.Vote():
@@ -166,5 +166,5 @@
         if nth > 0:
             self.again.add(pick.rpc)
         took_ms = ANSWER_MS * self.chance.lognormvariate(0.0, SPREAD)
-        ending = ifc.Ending.ERROR if self.chance.random() < FAILING else ifc.Ending.OK
+        ending = ifc.Outcome.ERROR if self.chance.random() < FAILING else ifc.Outcome.OK
         self.set(took_ms, Answer(pick.rpc, nth, pick.node, took_ms, ending))
--- a/brookreach/scale/marshal_situations.py
+++ b/brookreach/scale/marshal_situations.py
@@ -20,10 +20,10 @@
     every_ms: float | None = None  # between changes of the list
     judged = False  # whether RPCs are judged by method, so that each method has to be warmed up
     build = configured.RELEASED_BUILD
-    phase = ifc.Phase.RELEASED
+    phase = ifc.RolloutPhase.RELEASED
     stage = len(configured.STAGE_SHARES) - 1
 
-    def __init__(self, size: Size, start: ifc.Start) -> None:
+    def __init__(self, size: Size, start: ifc.BalancerSettings) -> None:
         self.size, self.start = size, start
         self.entries = [self.entry(number) for number in range(1, size.nodes + 1)]
 
@@ -39,8 +39,8 @@
             size=1.0,
         )
 
-    def news(self, reply: bool = False) -> ifc.RolloutNews:
-        return ifc.RolloutNews(reply, ifc.Ending.OK, self.stage, 1.0, self.phase, 0.0, self.build)
+    def news(self, reply: bool = False) -> ifc.RolloutStatus:
+        return ifc.RolloutStatus(reply, ifc.Outcome.OK, self.stage, 1.0, self.phase, 0.0, self.build)
 
     def change(self, now: float) -> tuple[ifc.NodeEntry, ...]:
         """The rows of the next change of the list; asked for each `every_ms`."""
@@ -52,7 +52,7 @@
 
     name = "on trial"
     judged = True
-    build, phase, stage = configured.NEW_BUILD, ifc.Phase.ON_TRIAL, configured.TRIAL_STAGE
+    build, phase, stage = configured.NEW_BUILD, ifc.RolloutPhase.ON_TRIAL, configured.TRIAL_STAGE
 
     def entry(self, node: int) -> ifc.NodeEntry:
         plain = super().entry(node)
@@ -64,7 +64,7 @@
 
     name = "2% cold"
 
-    def __init__(self, size: Size, start: ifc.Start) -> None:
+    def __init__(self, size: Size, start: ifc.BalancerSettings) -> None:
         super().__init__(size, start)
         self.every_ms = start.guards.warm_ms
         self.next = 0
@@ -82,7 +82,7 @@
     name = "drains"
     every_ms = DRAINS_EVERY_MS
 
-    def __init__(self, size: Size, start: ifc.Start) -> None:
+    def __init__(self, size: Size, start: ifc.BalancerSettings) -> None:
         super().__init__(size, start)
         self.draining: list[list[ifc.NodeEntry]] = []
         self.made = size.nodes
--- a/brookreach/startup.py
+++ b/brookreach/startup.py
@@ -8,14 +8,14 @@
 
 from dataclasses import dataclass
 
-from brookreach.enumerations import Gate, Group, Load, Repeat
+from brookreach.enumerations import DedupScope, Idempotency, LoadMetric, PromotionGate
 
 
 @dataclass(frozen=True, slots=True)
 class Method:
     name: str
-    repeat: Repeat
-    group: Group
+    repeat: Idempotency
+    group: DedupScope
     token_ms: float
     soft_ms: float
     hard_ms: float
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class FleetPosition:
     """Where this marshal stands among the others."""
 
     zone: int
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Permits:
+class AllowedActions:
     cancel: bool
     probes: bool
     second_copies: bool
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Guards:
+class SafetyLimits:
     """Figures of the rules."""
 
     answer_slack_ms: float
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Voting:
-    gate: Gate
+    gate: PromotionGate
     on_votes: int
     back_votes: int
     hold_votes: int
@@ -91,7 +91,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rollout:
+class RolloutSettings:
     """How builds are brought in."""
 
     stage_shares: tuple[float, ...]
@@ -114,7 +114,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stated:
+class ErrorRateTargets:
     """The error rates of a whole wave, over all marshals, that its operators state before it."""
 
     false_alarm: float = 0.05  # a good build is sent back
@@ -122,20 +122,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Start:
+class BalancerSettings:
     """A marshal's life begins; it knows nothing else."""
 
     seed: int
-    place: Place
+    place: FleetPosition
     methods: tuple[Method, ...]
     tenants: tuple[Tenant, ...]
     over_share_utility: float
-    permits: Permits
-    guards: Guards
+    permits: AllowedActions
+    guards: SafetyLimits
     exposure: Exposure
     voting: Voting
-    rollout: Rollout
+    rollout: RolloutSettings
     prices: Prices
-    reports: tuple[Load, ...]
+    reports: tuple[LoadMetric, ...]
     tick_ms: float
-    stated: Stated = Stated()
+    stated: ErrorRateTargets = ErrorRateTargets()
--- a/brookreach/tallies.py
+++ b/brookreach/tallies.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from brookreach.charts import ALL, ENOUGH, FLOOR, RISE, WARM_UP_MS, failure_step, slower, warmth
-from brookreach.interface import NodeEntry, Phase, RolloutNews, Start, Tally
+from brookreach.interface import BalancerSettings, NodeEntry, OutcomeCounts, RolloutPhase, RolloutStatus
 from brookreach.thresholds import Thresholds
 
 DECAY = 0.5  # of what earlier periods told, with each tally
@@ -25,7 +25,7 @@
 class Tallies:
     """Tallies of the earlier build by method, the load, and the steps that a tally of the build on trial gives."""
 
-    def __init__(self, start: Start) -> None:
+    def __init__(self, start: BalancerSettings) -> None:
         self.tally_ms, self.guards = start.rollout.tally_ms, start.guards
         self.heard_at, self.lag_ms = -math.inf, 0.0  # the last tally, and how late it came
         self.earlier = dict[int, list[float]]()  # by method: outcomes, failures, ms, when
@@ -36,8 +36,8 @@
     def observe(
         self,
         now: float,
-        told: Tally,
-        news: RolloutNews,
+        told: OutcomeCounts,
+        news: RolloutStatus,
         ready: list[NodeEntry],
         thresholds: Thresholds,
         abreast: bool,
@@ -55,7 +55,7 @@
                 now,
             ]
             return steps
-        if news.phase != Phase.ON_TRIAL or count < ENOUGH or now - at > 2.5 * self.tally_ms:
+        if news.phase != RolloutPhase.ON_TRIAL or count < ENOUGH or now - at > 2.5 * self.tally_ms:
             return steps  # decided, or nothing left to compare with
         before = max(FLOOR, failed / count)
         for stream, rise in ((told.method, RISE), (ALL, thresholds.rise)):
@@ -73,8 +73,8 @@
     def _burden(
         self,
         now: float,
-        told: Tally,
-        news: RolloutNews,
+        told: OutcomeCounts,
+        news: RolloutStatus,
         ready: list[NodeEntry],
         thresholds: Thresholds,
         abreast: bool,
@@ -82,7 +82,7 @@
         """A build may slow old nodes too: their times against those before it, under no more load."""
         good = told.count - told.failed
         count, total_ms = self.quiet.get(told.method, (0.0, 0.0))
-        calm = news.phase != Phase.ON_TRIAL or news.stage == 0
+        calm = news.phase != RolloutPhase.ON_TRIAL or news.stage == 0
         self.load_rose = False
         if now > self.heard_at + 0.5 * self.tally_ms:  # the first of a period, whose order tells nothing
             capacity = sum([one.size * warmth(one, now, self.guards) for one in ready])
--- a/brookreach/thresholds.py
+++ b/brookreach/thresholds.py
@@ -3,7 +3,7 @@
 import math
 
 from brookreach.charts import ALL, RISE, RISES, WARM_UP_MS, drift, sees_few
-from brookreach.interface import Gate, Start
+from brookreach.interface import BalancerSettings, PromotionGate
 
 MIN_OUTCOMES = 100.0  # of a wave: below it a threshold would promise too much
 MAX_TALLY_SHARE = 0.6  # of a tallied chart's threshold: what the tally of one period adds to it at the most
@@ -17,7 +17,7 @@
     Waits are as long as harm on the next stage is worth, against the price of delay; half where few are seen.
     """
 
-    def __init__(self, start: Start, flow: float) -> None:
+    def __init__(self, start: BalancerSettings, flow: float) -> None:
         """`flow` is the RPCs that this balancer takes a second."""
         few = sees_few(start)
         methods = len(start.methods)
@@ -33,7 +33,7 @@
         self.max_tally_steps = dict.fromkeys(range(methods), tally_step) | {ALL: tally_step / methods}
         # Over all methods the least rise that a wave has outcomes for.
         self.rise = next((rise for rise in RISES if outcomes * drift(rise) > 2.0 * self.own), RISE)
-        needed = 1 if few or start.voting.gate == Gate.ANY else max(1, start.voting.on_votes)
+        needed = 1 if few or start.voting.gate == PromotionGate.ANY else max(1, start.voting.on_votes)
         self.trust = math.log(max(1.0, (1 if few else balancers) / needed) / start.stated.miss)
         harm, delay = 1.0 + start.prices.harm, max(0.01, start.prices.delay)
         self.wait_ms = min(MAX_WAIT_MS, (0.25 if few else 0.5) * WARM_UP_MS * RISE * harm / delay)
--- a/brookreach/verdict/keep.py
+++ b/brookreach/verdict/keep.py
@@ -26,12 +26,12 @@
         write: Callable[[Path, bytes], None] = replace_file,
     ):
         self.recorder, self.path, self.say, self.write = recorder, path, say, write
-        self.stood: tuple[int, int, ifc.Phase] | None = None
+        self.stood: tuple[int, int, ifc.RolloutPhase] | None = None
         self.failed = False
 
     def hear(self, now: float, one: object) -> None:
         self.recorder.hear(now, one)
-        if isinstance(one, ifc.RolloutNews) and one.ending == ifc.Ending.OK:
+        if isinstance(one, ifc.RolloutStatus) and one.ending == ifc.Outcome.OK:
             stands = one.build, one.stage, one.phase
             if stands != self.stood:
                 self.stood = stands
--- a/brookreach/verdict/notes.py
+++ b/brookreach/verdict/notes.py
@@ -28,8 +28,8 @@
     now: float
     what: str
     nodes: tuple[int, ...] = ()
-    news: ifc.RolloutNews | None = None
-    tally: ifc.Tally | None = None
+    news: ifc.RolloutStatus | None = None
+    tally: ifc.OutcomeCounts | None = None
     method: int = -1
     sent: float = 0.0
     ending: int = 0
@@ -44,7 +44,7 @@
 
     name: str
     build: int
-    start: ifc.Start
+    start: ifc.BalancerSettings
     entries: list[ifc.NodeEntry]
     notes: list[Note]
     left_out: int = 0  # notes past the bound
@@ -74,7 +74,7 @@
             raise RecordError(f"note {at} of build {wave.build}: it stands at {note.now}, after {last}")
         if note.what == "O" and not (len(note.nodes) == 1 and 0 <= note.method < len(wave.start.methods)):
             raise RecordError(f"note {at} of build {wave.build}: method {note.method}")
-        if note.what in "OR" and note.ending not in list(ifc.Ending):
+        if note.what in "OR" and note.ending not in list(ifc.Outcome):
             raise RecordError(f"note {at} of build {wave.build}: ending {note.ending}")
         if (note.what == "N" and note.news is None) or (note.what == "T" and note.tally is None):
             raise RecordError(f"note {at} of build {wave.build}: {note.what} without its news or tally")
--- a/brookreach/verdict/plan.py
+++ b/brookreach/verdict/plan.py
@@ -24,7 +24,7 @@
 WORKS = (1.2, 1.3, 1.4, 1.5, 1.6, 1.8, 2.0, 2.5, 3.0, 4.0)
 
 
-def judge_of(start: ifc.Start, seen: Seen) -> Judge:
+def judge_of(start: ifc.BalancerSettings, seen: Seen) -> Judge:
     """The judge whose thresholds the wave will have."""
     judge = Judge(deque(), [], start)
     judge.plan(seen.rpcs_per_s)
@@ -36,7 +36,7 @@
     return judge.thresholds.own + math.log(max([FLOOR, *seen.failures]))
 
 
-def stages_of(start: ifc.Start, judge: Judge, seen: Seen) -> tuple[Stage, ...]:
+def stages_of(start: ifc.BalancerSettings, judge: Judge, seen: Seen) -> tuple[Stage, ...]:
     """Stages of a build that earns no trust, so that each wait ends by its price.
 
     Where trust speaks strongly against a build the wait is doubled; nothing is promised from that.
@@ -69,7 +69,7 @@
     return 1.0 - (1.0 - float(curve[-1])) * math.exp(-rate * (count - played))
 
 
-def false_alarm(start: ifc.Start, judge: Judge, seen: Seen, outcomes: float) -> float:
+def false_alarm(start: ifc.BalancerSettings, judge: Judge, seen: Seen, outcomes: float) -> float:
     """Of a whole wave of a build that is like the last, over all marshals, methods and charts."""
     kept = 1.0
     overall = math.fsum(share * rate for share, rate in zip(seen.shares, seen.failures, strict=True))
@@ -91,7 +91,7 @@
     return threshold / max(1e-12, kl)
 
 
-def effect_of(start: ifc.Start, judge: Judge, seen: Seen, outcomes: float, what: str, size: float) -> Effect:
+def effect_of(start: ifc.BalancerSettings, judge: Judge, seen: Seen, outcomes: float, what: str, size: float) -> Effect:
     """`what` is "all", a method's name, or "work"; `size` more failures, or so many times the work."""
     names = [method.name for method in start.methods]
     overall = math.fsum(s * r for s, r in zip(seen.shares, seen.failures, strict=True))
@@ -122,7 +122,7 @@
     return Effect(what, size, miss, needed, bound, miss <= start.stated.miss)
 
 
-def least_of(start: ifc.Start, judge: Judge, seen: Seen, outcomes: float, what: str) -> float | None:
+def least_of(start: ifc.BalancerSettings, judge: Judge, seen: Seen, outcomes: float, what: str) -> float | None:
     """The least size of an effect that the wave tells apart at the stated miss; None where it tells none."""
     for size in WORKS if what == "work" else RISES:
         if effect_of(start, judge, seen, outcomes, what, size).seen:
@@ -130,7 +130,7 @@
     return None
 
 
-def make(start: ifc.Start, seen: Seen, effects: Sequence[tuple[str, float]] = ()) -> Plan:
+def make(start: ifc.BalancerSettings, seen: Seen, effects: Sequence[tuple[str, float]] = ()) -> Plan:
     """The plan of a wave. Raises PlanError for facts that no wave can have."""
     check(start, seen)
     judge = judge_of(start, seen)
@@ -168,7 +168,7 @@
 
 
 def _limits(
-    start: ifc.Start, judge: Judge, seen: Seen, rows: Sequence[Effect], alarm: float, outcomes: float
+    start: ifc.BalancerSettings, judge: Judge, seen: Seen, rows: Sequence[Effect], alarm: float, outcomes: float
 ) -> list[str]:
     """What the wave can't promise, and what more time or share would do."""
     out = []
@@ -194,12 +194,12 @@
     return out
 
 
-def restated(start: ifc.Start, rate: float | None, miss: float | None) -> ifc.Start:
+def restated(start: ifc.BalancerSettings, rate: float | None, miss: float | None) -> ifc.BalancerSettings:
     """The same facts under other stated rates."""
     old = start.stated
     return replace(
         start,
-        stated=ifc.Stated(old.false_alarm if rate is None else rate, old.miss if miss is None else miss),
+        stated=ifc.ErrorRateTargets(old.false_alarm if rate is None else rate, old.miss if miss is None else miss),
     )
 
 
--- a/brookreach/verdict/plan_records.py
+++ b/brookreach/verdict/plan_records.py
@@ -52,7 +52,7 @@
 class Plan:
     """All that is promised of one wave."""
 
-    stated: ifc.Stated
+    stated: ifc.ErrorRateTargets
     marshals: int
     threshold: float
     failing_threshold: float
@@ -81,7 +81,7 @@
         raise PlanError(f"{name}: {value!r}; from {low:g}{' (not itself)' if open_low else ''} to {high:g} is allowed")
 
 
-def check(start: ifc.Start, seen: Seen) -> None:
+def check(start: ifc.BalancerSettings, seen: Seen) -> None:
     """Raises PlanError at the first fact that no wave can have."""
     if not 1 <= len(start.methods) <= MOST_METHODS:
         raise PlanError(f"methods: {len(start.methods)}; 1 to {MOST_METHODS} are allowed")
--- a/brookreach/verdict/record.py
+++ b/brookreach/verdict/record.py
@@ -30,7 +30,9 @@
 class Recorder:
     """Hears `(now, event or action)` of one marshal's life, in order; `waves` are its last builds."""
 
-    def __init__(self, start: ifc.Start, name: str = "marshal", builds: int = BUILDS, notes: int = MOST_NOTES):
+    def __init__(
+        self, start: ifc.BalancerSettings, name: str = "marshal", builds: int = BUILDS, notes: int = MOST_NOTES
+    ):
         self.start, self.name, self.most = start, name, notes
         self.waves: deque[Wave] = deque(maxlen=builds)
         self.before: deque[Note] = deque(maxlen=BEFORE_NOTES)
@@ -45,7 +47,7 @@
 
     def hear(self, now: float, one: object) -> None:
         match one:
-            case ifc.RpcTaken():
+            case ifc.RpcReceived():
                 self.flow.add(now)
                 self.rpcs[one.rpc] = one.method, one.cost_ms
             case ifc.Pick():
@@ -53,18 +55,18 @@
                 self.picks.setdefault(one.rpc, []).append(None if entry is None else Out(self._index(entry), now))
             case ifc.PickEnded():
                 self._ended(now, one)
-            case ifc.RpcGone() | ifc.PushBack() | ifc.Abort():
+            case ifc.RpcCancelled() | ifc.PushBack() | ifc.Abort():
                 self._forget(one.rpc)
             case ifc.NodeList():
                 self._listed(now, one)
-            case ifc.Tally():
+            case ifc.OutcomeCounts():
                 self._note(Note(now, "T", tally=one))
-            case ifc.TimerRang() if one.token % 4 == BEAT:
+            case ifc.TimerFired() if one.token % 4 == BEAT:
                 self._note(Note(now, "D"))
-            case ifc.RolloutNews():
+            case ifc.RolloutStatus():
                 if one.reply:
                     self._note(Note(now, "R", ending=int(one.ending)))
-                if one.ending == ifc.Ending.OK:
+                if one.ending == ifc.Outcome.OK:
                     self._told(now, one)
             case ifc.Vote():
                 self._note(Note(now, "V", text=f"{one.verdict.name} {one.build} {one.stage}"))
@@ -115,7 +117,7 @@
         ready = tuple(self._index(entry) for entry in self.now_at.values() if entry.state == ifc.NodeState.READY)
         self._note(Note(now, "L", ready))
 
-    def _told(self, now: float, news: ifc.RolloutNews) -> None:
+    def _told(self, now: float, news: ifc.RolloutStatus) -> None:
         if news.build != self.build:
             if self.build is not None:  # what led up to it is part of it
                 self._compact()
--- a/brookreach/verdict/replay.py
+++ b/brookreach/verdict/replay.py
@@ -62,7 +62,7 @@
         case "N" if note.news is not None:
             judge.told(note.now, note.news)
         case "R":
-            judge.reply(note.now, ifc.Ending(note.ending))
+            judge.reply(note.now, ifc.Outcome(note.ending))
         case "T" if note.tally is not None:
             judge.tally(note.now, note.tally)
         case "D":
@@ -73,7 +73,7 @@
                 entry,
                 note.method,
                 note.sent,
-                ifc.Ending(note.ending),
+                ifc.Outcome(note.ending),
                 note.took,
                 note.unit,
                 note.flow,
@@ -85,7 +85,7 @@
     return f"{'all' if method < 0 else wave.start.methods[method].name} {stream}"
 
 
-def replay(wave: Wave, stated: ifc.Stated | None = None) -> Verdict:
+def replay(wave: Wave, stated: ifc.ErrorRateTargets | None = None) -> Verdict:
     """Judge a record again, under its own stated rates or others. News stay as they came."""
     start = replace(wave.start, stated=stated) if stated else wave.start
     acts: list[ifc.Action] = []
@@ -115,8 +115,10 @@
     return found
 
 
-def _count(found: Verdict, wave: Wave, note: Note, entry: ifc.NodeEntry, name: str, start: ifc.Start) -> None:
-    failed = note.ending != ifc.Ending.OK or note.took > start.methods[note.method].soft_ms
+def _count(
+    found: Verdict, wave: Wave, note: Note, entry: ifc.NodeEntry, name: str, start: ifc.BalancerSettings
+) -> None:
+    failed = note.ending != ifc.Outcome.OK or note.took > start.methods[note.method].soft_ms
     trial = entry.build == wave.build
     sides = [(found.trial if trial else found.earlier).setdefault(name, Side())]
     if trial:
--- a/brookreach/xds/assign.py
+++ b/brookreach/xds/assign.py
@@ -72,7 +72,7 @@
     return max(0.0, min(want, (want * total - used) / rest)) if rest > 0.0 else 0.0
 
 
-def weight_of(view: NodeView, now: float, guards: ifc.Guards) -> float:
+def weight_of(view: NodeView, now: float, guards: ifc.SafetyLimits) -> float:
     """What a node can do beside others: size and warmth, less with doubt and slowness; 0: not to be used."""
     if view.entry.state != ifc.NodeState.READY or view.doubt >= 1.0:
         return 0.0
@@ -84,7 +84,7 @@
     nodes: Sequence[NodeView],
     seats: Mapping[int, Seat],
     now: float,
-    guards: ifc.Guards,
+    guards: ifc.SafetyLimits,
     rate: float,
     asked: float,
 ) -> ClusterSet:
@@ -127,18 +127,18 @@
     return ClusterSet(name, tuple(endpoints), min(1.0, shed))
 
 
-def repeats_of(method: ifc.Method, permits: ifc.Permits) -> tuple[int, tuple[str, ...], float]:
+def repeats_of(method: ifc.Method, permits: ifc.AllowedActions) -> tuple[int, tuple[str, ...], float]:
     """Further picks at a proxy, on what, and the time of one pick.
 
     Non-idempotent: none, ever: a proxy's proof that a pick never ran is not ours. Tokened: within its window
     and only where all nodes drop its repeats, since a proxy chooses the next node by itself.
     """
     most = max(0, permits.max_picks - 1)
-    if method.repeat == ifc.Repeat.NON_IDEMPOTENT or most == 0:
+    if method.repeat == ifc.Idempotency.NON_IDEMPOTENT or most == 0:
         return 0, (), method.hard_ms
     on: tuple[str, ...] = ("connect-failure", "refused-stream", "reset", "5xx")
-    if method.repeat == ifc.Repeat.TOKENED:
-        if method.group != ifc.Group.ALL or method.token_ms <= 0.0:
+    if method.repeat == ifc.Idempotency.TOKENED:
+        if method.group != ifc.DedupScope.ALL or method.token_ms <= 0.0:
             return 0, (), method.hard_ms
         # All picks begin within the window: so many of one pick's time fit before it.
         each = min(method.soft_ms, method.token_ms / (most + 1))
@@ -147,12 +147,14 @@
     return most, on, each
 
 
-def trial_share(method: ifc.Method, start: ifc.Start, news: ifc.RolloutNews | None, build: int, least: float) -> float:
+def trial_share(
+    method: ifc.Method, start: ifc.BalancerSettings, news: ifc.RolloutStatus | None, build: int, least: float
+) -> float:
     """The share of one route that the build on trial may have before others' use is taken off."""
-    if news is None or news.phase in (ifc.Phase.GOING_BACK, ifc.Phase.WITHDRAWN):
+    if news is None or news.phase in (ifc.RolloutPhase.GOING_BACK, ifc.RolloutPhase.WITHDRAWN):
         return 0.0
     stage, cap = (news.stage, news.cap) if build == news.build else (0, (start.exposure.caps or (0.0,))[0])
-    if stage < start.exposure.closed_stages and method.repeat != ifc.Repeat.IDEMPOTENT:
+    if stage < start.exposure.closed_stages and method.repeat != ifc.Idempotency.IDEMPOTENT:
         return 0.0
     if start.exposure.one_way:
         return 0.0  # which keys have been answered by the new build is not known at proxies
@@ -163,7 +165,7 @@
 
 def assign(
     view: View,
-    start: ifc.Start,
+    start: ifc.BalancerSettings,
     seats: Mapping[int, Seat],
     proxies: Mapping[str, ProxyUse],
     cost: float = 1.0,
--- a/brookreach/xds/book.py
+++ b/brookreach/xds/book.py
@@ -39,7 +39,7 @@
 
     def __init__(
         self,
-        start: ifc.Start,
+        start: ifc.BalancerSettings,
         zones: Sequence[str],
         life: str,
         merge_ms: float = 100.0,
--- a/brookreach/xds/records.py
+++ b/brookreach/xds/records.py
@@ -30,7 +30,7 @@
     """What the module decides at one time."""
 
     at_ms: float
-    news: ifc.RolloutNews | None
+    news: ifc.RolloutStatus | None
     nodes: tuple[NodeView, ...]
     rate: float = 0.0  # cost a ms and unit of size that warm nodes are seen to carry
     fresh: bool = True  # False: from a snapshot, discovery is gone
--- a/brookreach/xds/view.py
+++ b/brookreach/xds/view.py
@@ -17,5 +17,5 @@
         slow = node.slow if node.tried else 1.0
         nodes.append(NodeView(node.entry, doubt, slow))
     nodes.sort(key=lambda one: one.entry.node)
-    news: ifc.RolloutNews | None = desk.news
+    news: ifc.RolloutStatus | None = desk.news
     return View(now, news, tuple(nodes), desk.rate)
