--- a/brookreach/desk.py
+++ b/brookreach/desk.py
@@ -45,7 +45,7 @@
         self.flow, self.good = Ring(1000.0, 10), Ring(PACE_MS, 8)  # taken; answered in time
 
     def taken_in(self, now: float, event: RpcReceived) -> None:
-        rpc = self.rpcs[event.rpc] = Rpc(now, event, self.methods[event.method])
+        rpc = self.rpcs[event.rpc_id] = Rpc(now, event, self.methods[event.method])
         taken = self.ring(rpc.method, 0)
         taken.add(now, event.unread_ms < 0.5 * taken.width)  # read late, its window may be over
         self.flow.add(now)
@@ -61,7 +61,7 @@
         self.tell("ask", now, rpc)
 
     def shortened(self, now: float, event: DeadlineShortened) -> None:
-        if (rpc := self.rpcs.get(event.rpc)) and event.deadline_ms < rpc.end:
+        if (rpc := self.rpcs.get(event.rpc_id)) and event.deadline_ms < rpc.end:
             rpc.end = event.deadline_ms
             self.acts.append(SetTimer(max(0.0, rpc.end - now - 6.0), 4 * rpc.id + RPC_END))
 
@@ -165,31 +165,31 @@
             self.tell("ask", now, rpc)
 
     def gone(self, now: float, event: RpcCancelled) -> None:
-        if event.rpc in self.rpcs:
-            self.finish(self.rpcs[event.rpc])
+        if event.rpc_id in self.rpcs:
+            self.finish(self.rpcs[event.rpc_id])
 
     def ended(self, now: float, event: PickEnded) -> None:
-        rpc = self.rpcs.get(event.rpc)
-        if rpc is None or event.nth >= len(rpc.picks):
+        rpc = self.rpcs.get(event.rpc_id)
+        if rpc is None or event.pick_index >= len(rpc.picks):
             return
-        pick, typical = rpc.picks[event.nth], self.typical(rpc)
-        entry, pick[2] = pick[0], event.ending
+        pick, typical = rpc.picks[event.pick_index], self.typical(rpc)
+        entry, pick[2] = pick[0], event.outcome
         long = self.long(now, typical, rpc.facts.soft_ms, entry.build)
         self.nodes[entry.node].tell("ended", now, event, entry, pick[1], typical, long, self.usual)
-        if event.ending == Outcome.OK:
-            if self.few and event.final and now < rpc.soft:
+        if event.outcome == Outcome.OK:
+            if self.few and event.is_final and now < rpc.soft:
                 self.good.add(now)
-            work = min(event.took_ms, 0.5 * rpc.facts.soft_ms)  # queues are no work
+            work = min(event.duration_ms, 0.5 * rpc.facts.soft_ms)  # queues are no work
             self.usual_ms[rpc.method] += 0.02 * (work - self.usual_ms[rpc.method])
             if warmth(entry, now - CARRIED_MS, self.guards) >= 1.0:
                 self.carried.add(now, rpc.cost or self.usual_ms[rpc.method])
             if self.exposure.one_way and rpc.key and on_trial(self.news, entry.build):
                 self.one_way[rpc.key] = max(entry.build, self.one_way.get(rpc.key, 0))
-        if not self.few and event.ending in (Outcome.OK, Outcome.FULL, Outcome.TIMEOUT):
+        if not self.few and event.outcome in (Outcome.OK, Outcome.FULL, Outcome.TIMEOUT):
             self.ends.add(now)
-            self.lates.add(now, event.ending != Outcome.OK or event.took_ms > 0.6 * rpc.facts.soft_ms)
-        if self.few and event.ending in (Outcome.OK, Outcome.TIMEOUT):
-            drag = 0.07 * math.log(max(1.0, event.took_ms / typical))
+            self.lates.add(now, event.outcome != Outcome.OK or event.duration_ms > 0.6 * rpc.facts.soft_ms)
+        if self.few and event.outcome in (Outcome.OK, Outcome.TIMEOUT):
+            drag = 0.07 * math.log(max(1.0, event.duration_ms / typical))
             for key in (self.side(entry.build), NEAR if entry.zone == self.place.zone else FAR):
                 self.drags[key] = 0.93 * self.drags.get(key, 0.0) + drag
         self.judge.tell(
@@ -198,12 +198,12 @@
             entry,
             rpc.method,
             pick[1],
-            event.ending,
-            event.took_ms,
+            event.outcome,
+            event.duration_ms,
             rpc.cost or 1.0,
             self.flow.total(now),
         )
-        if event.final or rpc.done:
+        if event.is_final or rpc.done:
             self.finish(rpc)
         elif not rpc.pending():
             again = (
--- a/brookreach/interface.py
+++ b/brookreach/interface.py
@@ -62,14 +62,14 @@
 class RpcReceived:
     """A client's RPC, to be answered by `deadline_ms`. It may have come `unread_ms` before it was read."""
 
-    rpc: int
+    rpc_id: int
     method: int
     tenant: int
     key: int
     deadline_ms: float
     cost_ms: float | None
-    repeat: bool
-    write: bool
+    is_retry: bool
+    is_write: bool
     unread_ms: float = 0.0
 
 
@@ -77,40 +77,40 @@
 class DeadlineShortened:
     """An open RPC has to be answered by `deadline_ms`, sooner than was said: other answers wait for its own."""
 
-    rpc: int
+    rpc_id: int
     deadline_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class RpcCancelled:
-    rpc: int
+    rpc_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class PickEnded:
-    rpc: int
-    nth: int
+    rpc_id: int
+    pick_index: int
     node: int
-    ending: Outcome
-    final: bool
-    took_ms: float
+    outcome: Outcome
+    is_final: bool
+    duration_ms: float
     load: Mapping[LoadMetric, float]
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeEnded:
     node: int
-    ending: Outcome
-    took_ms: float
+    outcome: Outcome
+    duration_ms: float
     load: Mapping[LoadMetric, float]
 
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    rpc: int
-    nth: int
+    rpc_id: int
+    pick_index: int
     node: int
-    took_ms: float
+    duration_ms: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -149,7 +149,7 @@
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
     peer: int
-    octets: bytes
+    payload: bytes
 
 
 Event = (
@@ -176,28 +176,28 @@
     """One RPC to one node. Past `write_ms` the query's last byte may not be written any more: the pick ends
     as one that never ran. It goes over no connection whose last answer is less than `rest_ms` old."""
 
-    rpc: int
+    rpc_id: int
     node: int
-    wait_ms: float
-    write_ms: float = math.inf
-    rest_ms: float = 0.0
+    timeout_ms: float
+    write_within_ms: float = math.inf
+    min_idle_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class PushBack:
-    rpc: int
-    come_back_ms: float
+    rpc_id: int
+    retry_after_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class Abort:
-    rpc: int
+    rpc_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class CancelPick:
-    rpc: int
-    nth: int
+    rpc_id: int
+    pick_index: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -230,13 +230,13 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchNodeList:
-    on: bool
+    enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
 class SendToPeer:
     peer: int | None  # None: all
-    octets: bytes
+    payload: bytes
 
 
 @dataclass(frozen=True, slots=True)
--- a/brookreach/model/world.py
+++ b/brookreach/model/world.py
@@ -167,7 +167,7 @@
                     self.pick(seat, action)
                 case ifc.PushBack() | ifc.Abort():
                     self.out.pushed_back += self.since_offer() >= 0.0
-                    seat.ends.pop(action.rpc, None)
+                    seat.ends.pop(action.rpc_id, None)
                 case ifc.Vote():
                     self.at(self.chance.uniform(76.0, 160.0), self.voted, seat, seat.life, action)
                 case ifc.LogLine():
@@ -198,14 +198,14 @@
             self.tell(seat, ifc.RpcReceived(self.rpc_ids, method, 0, 0, self.now + facts.hard_ms, None, False, False))
 
     def pick(self, seat: Seat, action: ifc.Pick) -> None:
-        method = seat.ends[action.rpc][2] if action.rpc in seat.ends else 0
-        jobs = seat.open.setdefault(action.rpc, [])
-        job = Job(seat.ordinal, action.rpc, len(jobs), method, self.now, 0.0)
+        method = seat.ends[action.rpc_id][2] if action.rpc_id in seat.ends else 0
+        jobs = seat.open.setdefault(action.rpc_id, [])
+        job = Job(seat.ordinal, action.rpc_id, len(jobs), method, self.now, 0.0)
         jobs.append(job)
         mean, sigma = self.spread
         job.work = WORK_MS * math.exp(self.chance.gauss(mean, sigma))
         self.at(NET_MS, self.reach, job, action.node)
-        self.at(max(0.0, action.wait_ms), self.time_out, job, action.node, seat.life)
+        self.at(max(0.0, action.timeout_ms), self.time_out, job, action.node, seat.life)
 
     def reach(self, job: Job, number: int) -> None:
         node = self.nodes.get(number)
--- a/brookreach/net/driver.py
+++ b/brookreach/net/driver.py
@@ -83,8 +83,8 @@
                 key=statement.key,
                 deadline_ms=self.clock.at(self.drain.due(came_at + statement.wait_ms / 1000.0)),
                 cost_ms=statement.cost_ms,
-                repeat=statement.repeat,
-                write=statement.write,
+                is_retry=statement.repeat,
+                is_write=statement.write,
                 unread_ms=1000.0 * (self.poller.since - came_at),
             )
         )
@@ -185,7 +185,7 @@
             self._failed(traceback.format_exc(limit=-2))
             return
         if isinstance(event, ifc.RpcCancelled):
-            self.open.left_heard(event.rpc)
+            self.open.left_heard(event.rpc_id)
         if self.watch is not None:
             for one in (event, *actions):
                 self.watch(now, one)
@@ -215,11 +215,11 @@
             case ifc.Pick():
                 self._pick(action)
             case ifc.PushBack():
-                self.open.answer(action.rpc, [pushed_back(action.come_back_ms)], "refused")
+                self.open.answer(action.rpc_id, [pushed_back(action.retry_after_ms)], "refused")
             case ifc.Abort():
-                self.open.answer(action.rpc, [ABORTED], "failed")
+                self.open.answer(action.rpc_id, [ABORTED], "failed")
             case ifc.CancelPick():
-                self.nodes.cancel(action.rpc, action.nth)
+                self.nodes.cancel(action.rpc_id, action.pick_index)
             case ifc.SetTimer():
                 self.timers.set(self.clock.now() + action.delay_ms, action.token)
             case ifc.Vote():
@@ -234,10 +234,10 @@
                 self.report.say("driver", f"this protocol has no form for {type(action).__name__}")
 
     def _pick(self, pick: ifc.Pick) -> None:
-        held = self.open.get(pick.rpc)
+        held = self.open.get(pick.rpc_id)
         if held is None:  # its client left in the same moment
-            nth = self.open.number_left_pick(pick.rpc)
-            self.put(PickOutcome(pick.rpc, nth, pick.node, ifc.Outcome.MOOT, 0.0, []))
+            nth = self.open.number_left_pick(pick.rpc_id)
+            self.put(PickOutcome(pick.rpc_id, nth, pick.node, ifc.Outcome.MOOT, 0.0, []))
             return
         held.picks += 1
         self.nodes.pick(pick, held.picks - 1, held.statement)
--- a/brookreach/net/nodes.py
+++ b/brookreach/net/nodes.py
@@ -83,14 +83,16 @@
     def pick(self, pick: ifc.Pick, nth: int, statement: Statement) -> None:
         endpoint = self.endpoints.get(pick.node)
         if endpoint is None:
-            self.owner.put(PickOutcome(pick.rpc, nth, pick.node, Outcome.MOOT, 0.0, []))
+            self.owner.put(PickOutcome(pick.rpc_id, nth, pick.node, Outcome.MOOT, 0.0, []))
             return
-        flight = InFlight(self.owner, self.in_flight, endpoint, pick.rpc, nth, pick.wait_ms, pick.write_ms, statement)
-        self.in_flight[pick.rpc, nth] = flight
-        self.owner.alarm(pick.wait_ms, flight)
-        if pick.write_ms < pick.wait_ms:
-            self.owner.alarm(pick.write_ms, HalfWritten(flight))
-        self._start(flight, pick.rest_ms)
+        flight = InFlight(
+            self.owner, self.in_flight, endpoint, pick.rpc_id, nth, pick.timeout_ms, pick.write_within_ms, statement
+        )
+        self.in_flight[pick.rpc_id, nth] = flight
+        self.owner.alarm(pick.timeout_ms, flight)
+        if pick.write_within_ms < pick.timeout_ms:
+            self.owner.alarm(pick.write_within_ms, HalfWritten(flight))
+        self._start(flight, pick.min_idle_ms)
 
     def cancel(self, rpc: int, nth: int) -> None:
         flight = self.in_flight.get((rpc, nth))
--- a/brookreach/parts.py
+++ b/brookreach/parts.py
@@ -31,7 +31,7 @@
     """What the desk holds of one RPC; `picks` are [node entry, sent at, ending or None]."""
 
     def __init__(self, now: float, event: RpcReceived, facts: Method):
-        self.id, self.method, self.facts = event.rpc, event.method, facts
+        self.id, self.method, self.facts = event.rpc_id, event.method, facts
         self.cost, self.key = event.cost_ms, event.key
         self.end, soft = event.deadline_ms, facts.soft_ms + facts.soft_stretch * (event.cost_ms or 0.0)
         self.soft = min(now + min(soft, facts.hard_ms), self.end)
--- a/brookreach/roster.py
+++ b/brookreach/roster.py
@@ -102,7 +102,7 @@
     def ended(
         self, now: float, event: PickEnded, at: NodeEntry, sent: float, typical: float, long: float, usual: float
     ) -> None:
-        entry, ending, slow = self.entry, event.ending, event.took_ms > long
+        entry, ending, slow = self.entry, event.outcome, event.duration_ms > long
         self.sent.remove(sent)
         if (at.started_ms, at.build) != (entry.started_ms, entry.build):
             return  # it tells of what ran here before
@@ -111,7 +111,7 @@
         self.tried, self.failed = 0.95 * self.tried + 1.0, 0.95 * self.failed + bad
         self.doubt = max(0.0, self.doubt + failure_step(bad, usual, 0.5))
         if ending == Outcome.OK:
-            pace = min(20.0, event.took_ms / typical * warmth(entry, now, self.guards))
+            pace = min(20.0, event.duration_ms / typical * warmth(entry, now, self.guards))
             self.slow += 0.1 * (pace - self.slow)
             if self.shy_ms and now >= self.shy_until and self.doubt < 0.3 * self.most_doubt:
                 self.shy_ms = 0.5 * self.shy_ms if self.shy_ms > self.least_ms else 0.0
--- a/brookreach/scale/marshal_load.py
+++ b/brookreach/scale/marshal_load.py
@@ -155,16 +155,16 @@
                 case ifc.SetTimer():
                     self.set(action.delay_ms, ifc.TimerFired(action.token))
                 case ifc.PushBack() | ifc.Abort():
-                    self.open.pop(action.rpc, None)
+                    self.open.pop(action.rpc_id, None)
                 case ifc.Vote():
                     self.set(VOTE_MS, Reply())
 
     def pick(self, pick: ifc.Pick) -> None:
-        if pick.rpc not in self.open:
+        if pick.rpc_id not in self.open:
             return
-        nth, self.open[pick.rpc] = self.open[pick.rpc], self.open[pick.rpc] + 1
+        nth, self.open[pick.rpc_id] = self.open[pick.rpc_id], self.open[pick.rpc_id] + 1
         if nth > 0:
-            self.again.add(pick.rpc)
+            self.again.add(pick.rpc_id)
         took_ms = ANSWER_MS * self.chance.lognormvariate(0.0, SPREAD)
         ending = ifc.Outcome.ERROR if self.chance.random() < FAILING else ifc.Outcome.OK
-        self.set(took_ms, Answer(pick.rpc, nth, pick.node, took_ms, ending))
+        self.set(took_ms, Answer(pick.rpc_id, nth, pick.node, took_ms, ending))
--- a/brookreach/verdict/record.py
+++ b/brookreach/verdict/record.py
@@ -49,14 +49,14 @@
         match one:
             case ifc.RpcReceived():
                 self.flow.add(now)
-                self.rpcs[one.rpc] = one.method, one.cost_ms
+                self.rpcs[one.rpc_id] = one.method, one.cost_ms
             case ifc.Pick():
                 entry = self.now_at.get(one.node)
-                self.picks.setdefault(one.rpc, []).append(None if entry is None else Out(self._index(entry), now))
+                self.picks.setdefault(one.rpc_id, []).append(None if entry is None else Out(self._index(entry), now))
             case ifc.PickEnded():
                 self._ended(now, one)
             case ifc.RpcCancelled() | ifc.PushBack() | ifc.Abort():
-                self._forget(one.rpc)
+                self._forget(one.rpc_id)
             case ifc.NodeList():
                 self._listed(now, one)
             case ifc.OutcomeCounts():
@@ -88,11 +88,11 @@
             self.picks.pop(rpc, None)
 
     def _ended(self, now: float, one: ifc.PickEnded) -> None:
-        outs = self.picks.get(one.rpc, [])
-        if one.nth >= len(outs) or (out := outs[one.nth]) is None or one.rpc not in self.rpcs:
+        outs = self.picks.get(one.rpc_id, [])
+        if one.pick_index >= len(outs) or (out := outs[one.pick_index]) is None or one.rpc_id not in self.rpcs:
             return
-        outs[one.nth] = None
-        method, cost = self.rpcs[one.rpc]
+        outs[one.pick_index] = None
+        method, cost = self.rpcs[one.rpc_id]
         self._note(
             Note(
                 now,
@@ -100,14 +100,14 @@
                 (out.entry,),
                 method=method,
                 sent=out.sent,
-                ending=int(one.ending),
-                took=one.took_ms,
+                ending=int(one.outcome),
+                took=one.duration_ms,
                 unit=cost or 1.0,
                 flow=self.flow.total(now),
             )
         )
-        if one.final:
-            self._forget(one.rpc)
+        if one.is_final:
+            self._forget(one.rpc_id)
 
     def _listed(self, now: float, one: ifc.NodeList) -> None:
         if one.kind in (ifc.ListKind.FULL, ifc.ListKind.CACHED):
