--- a/brookreach/__main__.py
+++ b/brookreach/__main__.py
@@ -23,8 +23,8 @@
 
 import anyio
 
-from brookreach import facts
 from brookreach import interface as ifc
+from brookreach.balancer_settings_reader import read_balancer_settings
 from brookreach.configuration import BadStart, address_from, configuration, seed_from
 from brookreach.net.beside import Beside
 from brookreach.net.clients import Clients
@@ -38,7 +38,7 @@
 from brookreach.net.report import Report, Writers, run_guarded
 from brookreach.net.shutdown import Shutdown
 from brookreach.net.stream import address
-from brookreach.settings_reader import SettingsError, SettingsObject
+from brookreach.settings_object import SettingsError, SettingsObject
 
 
 class Parts:
@@ -48,7 +48,7 @@
         try:
             top = SettingsObject(told, "configuration")
             deployer, known, settings = top.object("deployer"), top.object("known"), top.object("settings")
-            start = facts.start_from(seed_from(top), settings.values)
+            start = read_balancer_settings(seed_from(top), settings.values)
             self.limits: Limits = limits_from(top.value("limits"), settings.values)
             name, self.at, _ = top.text("name"), top.text("listen"), address_from(top, "listen")
             self.report = Report(name, self.limits.lines, lines(name) if lines else None)
--- a/brookreach/startup.py
+++ b/brookreach/balancer_settings.py
@@ -1,7 +1,7 @@
 """What a marshal is told once, at its start: methods, limits of the rules, exposure, voting, prices.
 
-Times are milliseconds (float), rates are per second, shares lie between 0 and 1. `brookreach.facts` reads these
-records from the settings; nothing here decides anything.
+Times are milliseconds (float), rates are per second, shares lie between 0 and 1.
+`brookreach.balancer_settings_reader` reads these records from the settings; nothing here decides anything.
 """
 
 from __future__ import annotations
--- a/brookreach/facts.py
+++ b/brookreach/balancer_settings_reader.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from brookreach import interface as ifc
-from brookreach.settings_reader import SettingsError, SettingsObject, meaning, shown
+from brookreach.settings_object import SettingsError, SettingsObject, meaning, shown
 
 REPEATS = {
     "read_like": ifc.Idempotency.IDEMPOTENT,
@@ -37,7 +37,7 @@
     return us / 1000.0
 
 
-def start_from(seed: int, told: Mapping[str, Any]) -> ifc.BalancerSettings:
+def read_balancer_settings(seed: int, told: Mapping[str, Any]) -> ifc.BalancerSettings:
     """The settings as told, in our units; raises SettingsError for the first that is not as agreed."""
     settings = SettingsObject(told, "settings")
     allowed, guards, family = (settings.object(key) for key in ("allowed", "guarantees", "familyInfo"))
--- a/brookreach/cli/files.py
+++ b/brookreach/cli/files.py
@@ -12,11 +12,11 @@
 
 import msgspec
 
-from brookreach import facts
 from brookreach import interface as ifc
+from brookreach.balancer_settings_reader import read_balancer_settings
 from brookreach.files import MOST_SEALED, BadFile, checked, read_bounded, read_toml
 from brookreach.model.case import NAMES, Case, start_of
-from brookreach.settings_reader import SettingsError
+from brookreach.settings_object import SettingsError
 from brookreach.verdict import notes, plan
 
 
@@ -201,7 +201,7 @@
         }
     try:
         told_json = json.loads(octets)
-        start = facts.start_from(int(str(told_json["seed"]), 16), told_json["settings"])
+        start = read_balancer_settings(int(str(told_json["seed"]), 16), told_json["settings"])
     except (SettingsError, KeyError, TypeError, ValueError, RecursionError) as error:
         raise BadFile([f"{file}: no record, and no marshal's configuration: {type(error).__name__} {error}"]) from None
     return "a marshal's configuration", msgspec.to_builtins(start)
--- a/brookreach/configuration.py
+++ b/brookreach/configuration.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from brookreach.net.stream import address
-from brookreach.settings_reader import SettingsObject
+from brookreach.settings_object import SettingsObject
 
 
 class BadStart(Exception):
--- a/brookreach/interface.py
+++ b/brookreach/interface.py
@@ -11,18 +11,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from brookreach.enumerations import (
-    DedupScope,
-    Idempotency,
-    ListKind,
-    LoadMetric,
-    NodeState,
-    Outcome,
-    PromotionGate,
-    RolloutPhase,
-    Verdict,
-)
-from brookreach.startup import (
+from brookreach.balancer_settings import (
     AllowedActions,
     BalancerSettings,
     ErrorRateTargets,
@@ -35,6 +24,17 @@
     Tenant,
     Voting,
 )
+from brookreach.enumerations import (
+    DedupScope,
+    Idempotency,
+    ListKind,
+    LoadMetric,
+    NodeState,
+    Outcome,
+    PromotionGate,
+    RolloutPhase,
+    Verdict,
+)
 
 # --- events ---
 
--- a/brookreach/net/limits.py
+++ b/brookreach/net/limits.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from brookreach.facts import LISTS_ON_REQUEST
-from brookreach.settings_reader import SettingsError, SettingsObject
+from brookreach.balancer_settings_reader import LISTS_ON_REQUEST
+from brookreach.settings_object import SettingsError, SettingsObject
 
 KIB, MOST_MB = 1024, 1e9
 # SIGKILL comes no sooner than the longest time of an RPC, counted as 3 s where it is longer, and 0.7 s more after
--- a/brookreach/scale/marshal_decisions.py
+++ b/brookreach/scale/marshal_decisions.py
@@ -9,7 +9,7 @@
 from contextlib import AbstractContextManager, nullcontext
 from dataclasses import dataclass
 
-from brookreach import facts
+from brookreach.balancer_settings_reader import read_balancer_settings
 from brookreach.scale import marshal_configuration as configured
 from brookreach.scale.figures import Percentiles, percentiles
 from brookreach.scale.marshal_load import Load, Meter
@@ -70,7 +70,7 @@
     metered: AbstractContextManager[object] | None = None,
 ) -> Cost:
     """`metered` is entered for what is measured, and not for what warms up."""
-    start = facts.start_from(seed, configured.settings(size))
+    start = read_balancer_settings(seed, configured.settings(size))
     load = Load(start, kind(size, start), seed, meter)
     gc.collect()
     gc.freeze()  # as a marshal does at its start
