--- a/brookreach/interface.py
+++ b/brookreach/interface.py
@@ -11,8 +11,30 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from brookreach.enumerations import Ending, Gate, Group, ListKind, Load, NodeState, Phase, Repeat, Verdict
-from brookreach.startup import Exposure, Guards, Method, Permits, Place, Prices, Rollout, Start, Stated, Tenant, Voting
+from brookreach.balancer_settings import (
+    AllowedActions,
+    BalancerSettings,
+    ErrorRateTargets,
+    Exposure,
+    FleetPosition,
+    Method,
+    Prices,
+    RolloutSettings,
+    SafetyLimits,
+    Tenant,
+    Voting,
+)
+from brookreach.enumerations import (
+    DedupScope,
+    Idempotency,
+    ListKind,
+    LoadMetric,
+    NodeState,
+    Outcome,
+    PromotionGate,
+    RolloutPhase,
+    Verdict,
+)
 
 # --- events ---
 
@@ -37,17 +59,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RpcTaken:
+class RpcReceived:
     """A client's RPC, to be answered by `deadline_ms`. It may have come `unread_ms` before it was read."""
 
-    rpc: int
+    rpc_id: int
     method: int
     tenant: int
     key: int
     deadline_ms: float
     cost_ms: float | None
-    repeat: bool
-    write: bool
+    is_retry: bool
+    is_write: bool
     unread_ms: float = 0.0
 
 
@@ -55,60 +77,60 @@
 class DeadlineShortened:
     """An open RPC has to be answered by `deadline_ms`, sooner than was said: other answers wait for its own."""
 
-    rpc: int
+    rpc_id: int
     deadline_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class RpcGone:
-    rpc: int
+class RpcCancelled:
+    rpc_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class PickEnded:
-    rpc: int
-    nth: int
+    rpc_id: int
+    pick_index: int
     node: int
-    ending: Ending
-    final: bool
-    took_ms: float
-    load: Mapping[Load, float]
+    outcome: Outcome
+    is_final: bool
+    duration_ms: float
+    load: Mapping[LoadMetric, float]
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeEnded:
     node: int
-    ending: Ending
-    took_ms: float
-    load: Mapping[Load, float]
+    outcome: Outcome
+    duration_ms: float
+    load: Mapping[LoadMetric, float]
 
 
 @dataclass(frozen=True, slots=True)
-class StreamBegun:
-    rpc: int
-    nth: int
+class StreamStarted:
+    rpc_id: int
+    pick_index: int
     node: int
-    took_ms: float
+    duration_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class TimerRang:
+class TimerFired:
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class RolloutNews:
+class RolloutStatus:
     reply: bool
-    ending: Ending
+    ending: Outcome
     stage: int
     cap: float
-    phase: Phase
+    phase: RolloutPhase
     age_ms: float
     build: int
 
 
 @dataclass(frozen=True, slots=True)
-class Tally:
+class OutcomeCounts:
     build: int
     method: int
     age_ms: float
@@ -118,7 +140,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Disputed:
+class DisputedAnswer:
     node: int
     method: int
     age_ms: float
@@ -127,21 +149,21 @@
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
     peer: int
-    octets: bytes
+    payload: bytes
 
 
 Event = (
     NodeList
-    | RpcTaken
+    | RpcReceived
     | DeadlineShortened
-    | RpcGone
+    | RpcCancelled
     | PickEnded
     | ProbeEnded
-    | StreamBegun
-    | TimerRang
-    | RolloutNews
-    | Tally
-    | Disputed
+    | StreamStarted
+    | TimerFired
+    | RolloutStatus
+    | OutcomeCounts
+    | DisputedAnswer
     | PeerMessage
 )
 
@@ -154,28 +176,28 @@
     """One RPC to one node. Past `write_ms` the query's last byte may not be written any more: the pick ends
     as one that never ran. It goes over no connection whose last answer is less than `rest_ms` old."""
 
-    rpc: int
+    rpc_id: int
     node: int
-    wait_ms: float
-    write_ms: float = math.inf
-    rest_ms: float = 0.0
+    timeout_ms: float
+    write_within_ms: float = math.inf
+    min_idle_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class PushBack:
-    rpc: int
-    come_back_ms: float
+    rpc_id: int
+    retry_after_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class Abort:
-    rpc: int
+    rpc_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class CancelPick:
-    rpc: int
-    nth: int
+    rpc_id: int
+    pick_index: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -202,19 +224,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FetchList:
+class FetchNodeList:
     pass
 
 
 @dataclass(frozen=True, slots=True)
-class FollowList:
-    on: bool
+class WatchNodeList:
+    enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
-class TellPeer:
+class SendToPeer:
     peer: int | None  # None: all
-    octets: bytes
+    payload: bytes
 
 
 @dataclass(frozen=True, slots=True)
@@ -223,7 +245,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
+class DecisionFault:
     """The decision code failed; only an adapter says this."""
 
     text: str
@@ -238,9 +260,9 @@
     | Probe
     | CloseIdle
     | Vote
-    | FetchList
-    | FollowList
-    | TellPeer
+    | FetchNodeList
+    | WatchNodeList
+    | SendToPeer
     | LogLine
-    | Fault
+    | DecisionFault
 )
--- a/brookreach/xds/snapshot_cache.py
+++ b/brookreach/xds/snapshot_cache.py
@@ -39,7 +39,7 @@
 
     def __init__(
         self,
-        start: ifc.Start,
+        start: ifc.BalancerSettings,
         zones: Sequence[str],
         instance_id: str,
         merge_ms: float = 100.0,
