--- a/brookreach/__main__.py
+++ b/brookreach/__main__.py
@@ -25,7 +25,7 @@
 
 from brookreach import interface as ifc
 from brookreach.balancer_settings_reader import read_balancer_settings
-from brookreach.configuration import BadStart, address_from, configuration, seed_from
+from brookreach.configuration import StartupError, read_address, read_configuration, read_seed
 from brookreach.net.beside import Beside
 from brookreach.net.clients import Clients
 from brookreach.net.discovery import BAD_JSON, Discovery
@@ -48,9 +48,9 @@
         try:
             top = SettingsObject(told, "configuration")
             deployer, known, settings = top.object("deployer"), top.object("known"), top.object("settings")
-            start = read_balancer_settings(seed_from(top), settings.values)
+            start = read_balancer_settings(read_seed(top), settings.values)
             self.limits: Limits = limits_from(top.value("limits"), settings.values)
-            name, self.at, _ = top.text("name"), top.text("listen"), address_from(top, "listen")
+            name, self.at, _ = top.text("name"), top.text("listen"), read_address(top, "listen")
             self.report = Report(name, self.limits.lines, lines(name) if lines else None)
             self.poller = Poller(self.limits.sockets, self.fault)
             self.drain = Drain(self.limits)
@@ -68,22 +68,22 @@
                 self.report,
                 [method.name for method in start.methods],
                 stages,
-                address_from(deployer, "address"),
+                read_address(deployer, "address"),
                 chance,
                 self.driver.put,
             )
-            self.discovery.move(address_from(top, "discovery"))
+            self.discovery.move(read_address(top, "discovery"))
             news = deployer.object("news")
-            news.count("version"), news.count("step", stages - 1), news.word("status", PHASES)
+            news.count("version"), news.count("step", stages - 1), news.choice("status", PHASES)
             news.number("maxWeight"), news.number("observedAgoMs")
             self.news: ifc.RolloutStatus = news_from(news.values, stages)
             self.driver.begin()
             known.count("revision"), known.flag("complete"), [m.text("id") for m in known.objects("members")]
             self.discovery.read(known.values, cached=True)
         except SettingsError as error:
-            raise BadStart(str(error)) from None
+            raise StartupError(str(error)) from None
         except BAD_JSON as error:
-            raise BadStart(f"configuration.known: {type(error).__name__} {error}") from None
+            raise StartupError(f"configuration.known: {type(error).__name__} {error}") from None
         self.driver.put(self.news)
 
     def fault(self, trace: str) -> None:
@@ -94,7 +94,7 @@
         try:
             discovery, platform = address(told["discovery"]), address(told["deployer"]["address"])
         except BAD_JSON as error:
-            raise BadStart(f"discovery or deployer.address: {type(error).__name__} {error}") from None
+            raise StartupError(f"discovery or deployer.address: {type(error).__name__} {error}") from None
         fixed = ("name", "listen", "limits", "settings")
         other = [name for name in fixed if told.get(name) != self.told.get(name)]
         self.report.say(
@@ -108,8 +108,8 @@
     def hung_up(self) -> None:
         """SIGHUP. What can't be read changes nothing."""
         try:
-            self.configure(configuration(os.environ))
-        except BadStart as error:
+            self.configure(read_configuration(os.environ))
+        except StartupError as error:
             self.report.say("marshal", f"configuration not taken: {error}")
         except Exception:  # a defect must not end the RPCs under way
             self.fault(traceback.format_exc(limit=-2))
@@ -121,7 +121,7 @@
         finally:
             self.poller.close()
         if self.taken is not None:
-            raise BadStart(f"can't listen on {self.at}: {self.taken}")
+            raise StartupError(f"can't listen on {self.at}: {self.taken}")
 
     async def _serve(self) -> None:
         async with anyio.create_task_group() as tasks:
@@ -213,7 +213,7 @@
     """
     signal.signal(signal.SIGHUP, lambda number, frame: EARLY.append(number))
     try:
-        parts = Parts(configuration(os.environ), lines)
+        parts = Parts(read_configuration(os.environ), lines)
         if record is not None:
             from brookreach.verdict.keep import keep
 
@@ -226,7 +226,7 @@
         anyio.run(parts.run)
         if record is not None:
             keeper.save()
-    except BadStart as error:
+    except StartupError as error:
         print(f"brookreach: {error}", file=sys.stderr)
         return 2
     return 0
--- a/brookreach/balancer_settings_reader.py
+++ b/brookreach/balancer_settings_reader.py
@@ -10,16 +10,16 @@
 from typing import Any
 
 from brookreach import interface as ifc
-from brookreach.settings_object import SettingsError, SettingsObject, meaning, shown
+from brookreach.settings_object import SettingsError, SettingsObject, abbreviated_repr, parse_choice
 
-REPEATS = {
+IDEMPOTENCY_VALUES = {
     "read_like": ifc.Idempotency.IDEMPOTENT,
     "idempotency_key": ifc.Idempotency.TOKENED,
     "non_idempotent": ifc.Idempotency.NON_IDEMPOTENT,
 }
-GROUPS = {"all": ifc.DedupScope.ALL, "zone": ifc.DedupScope.ZONE, "cell": ifc.DedupScope.CELL}
-GATES = {"any": ifc.PromotionGate.ANY, "share": ifc.PromotionGate.SHARE, "timer": ifc.PromotionGate.CLOCK}
-LOADS = {
+DEDUP_SCOPES = {"all": ifc.DedupScope.ALL, "zone": ifc.DedupScope.ZONE, "cell": ifc.DedupScope.CELL}
+GATE_MODES = {"any": ifc.PromotionGate.ANY, "share": ifc.PromotionGate.SHARE, "timer": ifc.PromotionGate.CLOCK}
+LOAD_METRICS = {
     "busy_reqs": ifc.LoadMetric.INFLIGHT,
     "pending": ifc.LoadMetric.QUEUED,
     "cpu_share": ifc.LoadMetric.CPU_SHARE,
@@ -27,13 +27,13 @@
     "served_ps": ifc.LoadMetric.RATE,
     "failed_ps": ifc.LoadMetric.ERROR_RATE,
 }
-LISTS_ON_REQUEST = {"push": False, "ask": True}
-CAPS_BY_METHOD = {"all": False, "class": True}
-IN_PLACE = {"beside": False, "in_place": True}
-REPORTED = {"off": False, "inline": True, "on_probe": True}
+REGISTRY_MODES = {"push": False, "ask": True}
+CAP_SCOPES = {"all": False, "class": True}
+REPLACE_MODES = {"beside": False, "in_place": True}
+REPORT_CHANNELS = {"off": False, "inline": True, "on_probe": True}
 
 
-def to_ms(us: float) -> float:
+def us_to_ms(us: float) -> float:
     return us / 1000.0
 
 
@@ -42,7 +42,7 @@
     settings = SettingsObject(told, "settings")
     allowed, guards, family = (settings.object(key) for key in ("allowed", "guarantees", "familyInfo"))
     fees, report = settings.object("fees"), settings.object("report")
-    fields = report.items("fields") if report.word("via", REPORTED) else []
+    fields = report.items("fields") if report.choice("via", REPORT_CHANNELS) else []
     return ifc.BalancerSettings(
         seed=seed,
         place=_place(settings),
@@ -58,37 +58,37 @@
             allowed.flag("secondCopies"),
             allowed.flag("peers"),
             allowed.flag("retryAfter"),
-            allowed.ms("maxRetryAfterUs"),
+            allowed.ms_from_us("maxRetryAfterUs"),
             allowed.count("sendCap"),
             allowed.count("mostHeld"),
-            settings.word("registryMode", LISTS_ON_REQUEST),
+            settings.choice("registryMode", REGISTRY_MODES),
         ),
         guards=ifc.SafetyLimits(
-            guards.ms("answerSlackUs"),
-            guards.ms("askWithinUs"),
+            guards.ms_from_us("answerSlackUs"),
+            guards.ms_from_us("askWithinUs"),
             guards.number("coldShare", 1.0),
-            guards.ms("warmWithinUs"),
-            guards.ms("drainGraceUs"),
+            guards.ms_from_us("warmWithinUs"),
+            guards.ms_from_us("drainGraceUs"),
             guards.number("fallMultiple"),
-            guards.ms("tipAfterUs"),
+            guards.ms_from_us("tipAfterUs"),
         ),
         exposure=_exposure(family),
         voting=ifc.Voting(
-            family.word("gateMode", GATES),
+            family.choice("gateMode", GATE_MODES),
             family.count("toAdvance"),
             family.count("toAbort"),
             family.count("holdVotes"),
-            family.ms("ballotTtlUs"),
-            family.ms("answerWaitUs"),
+            family.ms_from_us("ballotTtlUs"),
+            family.ms_from_us("answerWaitUs"),
             family.number("voteAllowance"),
-            family.ms("minDwellUs"),
-            family.ms("movesAfterUs"),
+            family.ms_from_us("minDwellUs"),
+            family.ms_from_us("movesAfterUs"),
         ),
         rollout=ifc.RolloutSettings(
             family.numbers("stageShare", 1.0),
-            family.word("replaceMode", IN_PLACE),
-            family.ms("newsPeriodUs"),
-            family.ms("metricsPeriodUs"),
+            family.choice("replaceMode", REPLACE_MODES),
+            family.ms_from_us("newsPeriodUs"),
+            family.ms_from_us("metricsPeriodUs"),
             family.number("sample", 1.0),
             family.number("complaintShare", 1.0),
             family.flag("warmKeys") if "warmKeys" in family.values else False,
@@ -101,18 +101,20 @@
             family.number("delayPrice"),
             family.number("blastPrice"),
         ),
-        reports=tuple(meaning(field, LOADS, f"settings.report.fields[{at}]") for at, field in enumerate(fields)),
-        tick_ms=settings.ms("tickUs"),
+        reports=tuple(
+            parse_choice(field, LOAD_METRICS, f"settings.report.fields[{at}]") for at, field in enumerate(fields)
+        ),
+        tick_ms=settings.ms_from_us("tickUs"),
     )
 
 
 def _place(settings: SettingsObject) -> ifc.FleetPosition:
     place = ifc.FleetPosition(settings.count("myZone"), settings.count("ordinal"), settings.count("balancers"))
     if place.ordinal >= place.marshals:
-        raise settings.wrong("ordinal", f"below settings.balancers, {place.marshals}")
+        raise settings.invalid("ordinal", f"below settings.balancers, {place.marshals}")
     zones = len(settings.items("zones")) if "zones" in settings.values else 0
     if 0 < zones <= place.zone:
-        raise settings.wrong("myZone", f"one of the {zones} settings.zones, counted from 0")
+        raise settings.invalid("myZone", f"one of the {zones} settings.zones, counted from 0")
     return place
 
 
@@ -122,16 +124,16 @@
     for told in settings.objects("classes"):
         name = told.text("name")
         if name in seen:
-            raise SettingsError(f"{told.path}.name is {shown(name)}, as {seen[name]}.name is")
+            raise SettingsError(f"{told.path}.name is {abbreviated_repr(name)}, as {seen[name]}.name is")
         seen[name] = told.path
         methods.append(
             ifc.Method(
                 name,
-                told.word("idempotency", REPEATS),
-                told.word("dedupScope", GROUPS),
-                told.ms("windowUs"),
-                told.ms("aimUs"),
-                told.ms("hardLimitUs"),
+                told.choice("idempotency", IDEMPOTENCY_VALUES),
+                told.choice("dedupScope", DEDUP_SCOPES),
+                told.ms_from_us("windowUs"),
+                told.ms_from_us("aimUs"),
+                told.ms_from_us("hardLimitUs"),
                 told.number("worth"),
                 told.number("lateWorth"),
                 told.number("aimStretch") if "aimStretch" in told.values else 0.0,
@@ -139,21 +141,21 @@
             )
         )
     if not methods:
-        raise settings.wrong("classes", "one class or more")
+        raise settings.invalid("classes", "one class or more")
     return tuple(methods)
 
 
 def _exposure(family: SettingsObject) -> ifc.Exposure:
     caps, stages = family.numbers("exposureCaps", 1.0), len(family.items("stageShare"))
     if not stages:
-        raise family.wrong("stageShare", "one stage or more")
+        raise family.invalid("stageShare", "one stage or more")
     if len(caps) != stages:
-        raise family.wrong("exposureCaps", f"one cap for each of the {stages} stages of stageShare")
+        raise family.invalid("exposureCaps", f"one cap for each of the {stages} stages of stageShare")
     return ifc.Exposure(
-        family.ms("countedOverUs"),
+        family.ms_from_us("countedOverUs"),
         family.number("uncounted"),
         caps,
-        family.word("capScope", CAPS_BY_METHOD),
+        family.choice("capScope", CAP_SCOPES),
         family.count("guardedStages"),
         family.flag("forwardOnly"),
     )
--- a/brookreach/benchlink/host.py
+++ b/brookreach/benchlink/host.py
@@ -6,7 +6,7 @@
 from typing import Any, BinaryIO
 
 from brookreach.benchlink.frames import WireError, read_frame, write_frame
-from brookreach.benchlink.words import Record, entry_from, event_from, record_from, start_from, to_ms
+from brookreach.benchlink.words import Record, entry_from, event_from, record_from, start_from, us_to_ms
 from brookreach.decide import Marshal
 from brookreach.interface import Action, BalancerSettings, DecisionFault, NodeEntry
 
@@ -17,7 +17,7 @@
         self.pools: dict[int, tuple[NodeEntry, ...]] = {}
 
     def answer(self, clock_us: int, events: list[Record]) -> list[Record]:
-        now = to_ms(clock_us)
+        now = us_to_ms(clock_us)
         out: list[Record] = []
         for name, fields in events:
             if name == "Pool":
--- a/brookreach/benchlink/words.py
+++ b/brookreach/benchlink/words.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from brookreach import interface as ifc
-from brookreach.balancer_settings_reader import read_balancer_settings, to_ms
+from brookreach.balancer_settings_reader import read_balancer_settings, us_to_ms
 from brookreach.benchlink.frames import WireError
 from brookreach.settings_object import SettingsError
 
@@ -42,7 +42,7 @@
 
 def entry_from(row: tuple[Any, ...]) -> ifc.NodeEntry:
     cell, state, started_us, build, zone, kind, node, size = row
-    return ifc.NodeEntry(node, ifc.NodeState(state), to_ms(started_us), int(build), zone, cell, kind, size)
+    return ifc.NodeEntry(node, ifc.NodeState(state), us_to_ms(started_us), int(build), zone, cell, kind, size)
 
 
 def _loads(reports: tuple[ifc.LoadMetric, ...], figures: tuple[float, ...]) -> dict[ifc.LoadMetric, float]:
@@ -55,7 +55,7 @@
     """One event's fields, the instance's number left out, as the interface words it."""
     match name:
         case "Returned":
-            return ifc.PickEnded(f[0], f[3], f[5], ENDINGS[f[1]], f[2] != 0, to_ms(f[4]), _loads(reports, f[6]))
+            return ifc.PickEnded(f[0], f[3], f[5], ENDINGS[f[1]], f[2] != 0, us_to_ms(f[4]), _loads(reports, f[6]))
         case "NewRequest":
             rpc, method, tenant, key, deadline, estimate, bits = f
             return ifc.RpcReceived(
@@ -63,8 +63,8 @@
                 method,
                 tenant,
                 key,
-                to_ms(deadline),
-                to_ms(estimate) if bits & 1 else None,
+                us_to_ms(deadline),
+                us_to_ms(estimate) if bits & 1 else None,
                 bool(bits & 2),
                 bool(bits & 4),
             )
@@ -77,16 +77,18 @@
             return ifc.NodeList(kind, f[1], () if kind == ifc.ListKind.FAILED else pools[f[2]])
         case "RolloutState":
             mark, stage, cap, result, phase, age, build = f
-            return ifc.RolloutStatus(mark != 0, ENDINGS[result], stage, cap, ifc.RolloutPhase(phase), to_ms(age), build)
+            return ifc.RolloutStatus(
+                mark != 0, ENDINGS[result], stage, cap, ifc.RolloutPhase(phase), us_to_ms(age), build
+            )
         case "PeriodSums":
             build, age, failed, count, mean, method = f
-            return ifc.OutcomeCounts(build, method, to_ms(age), failed, count, to_ms(mean))
+            return ifc.OutcomeCounts(build, method, us_to_ms(age), failed, count, us_to_ms(mean))
         case "Disputed":
-            return ifc.DisputedAnswer(f[0], f[1], to_ms(f[2]))
+            return ifc.DisputedAnswer(f[0], f[1], us_to_ms(f[2]))
         case "Probed":
-            return ifc.ProbeEnded(f[1], ENDINGS[f[2]], to_ms(f[0]), _loads(reports, f[3]))
+            return ifc.ProbeEnded(f[1], ENDINGS[f[2]], us_to_ms(f[0]), _loads(reports, f[3]))
         case "AckFirst":
-            return ifc.StreamStarted(f[0], f[1], f[2], to_ms(f[3]))
+            return ifc.StreamStarted(f[0], f[1], f[2], us_to_ms(f[3]))
         case _:  # "Mail": the table of events holds no other name
             return ifc.PeerMessage(f[0], f[1])
 
--- a/brookreach/capacity/read.py
+++ b/brookreach/capacity/read.py
@@ -13,7 +13,7 @@
 from msgspec import inspect
 
 from brookreach.capacity import model
-from brookreach.files import BadFile
+from brookreach.files import InvalidFileError
 
 MOST_ENTRIES = 1000  # of one section
 MOST_SHOWN = 80  # characters of what stands there
@@ -27,7 +27,7 @@
 
 
 def capacity(file: Path, values: Mapping[str, Any]) -> model.Capacity:
-    """Raises BadFile."""
+    """Raises InvalidFileError."""
     return Reader(file).capacity(values)
 
 
@@ -168,7 +168,7 @@
 
     def _stop(self) -> None:
         if self.errors:
-            raise BadFile(self.errors)
+            raise InvalidFileError(self.errors)
 
 
 def _listed(names: Any) -> str:
--- a/brookreach/carbon_aware/schedule_file.py
+++ b/brookreach/carbon_aware/schedule_file.py
@@ -34,7 +34,7 @@
     schedule_digest,
 )
 from brookreach.coordination.protocol.messages import Name
-from brookreach.files import BadFile, checked, read_bounded, read_toml
+from brookreach.files import InvalidFileError, convert_values, read_bounded, read_toml
 
 UNIT = "gCO2e/kWh"
 CSV_HEADER = ["zone", "from", "to", UNIT]
@@ -96,13 +96,13 @@
 
 
 def read_schedule(path: Path) -> Schedule:
-    """Reads a schedule and the CSV files that it names; raises BadFile with all that is wrong in them."""
+    """Reads a schedule and the CSV files that it names; raises InvalidFileError with all that is wrong in them."""
     return parse_schedule(path, read_toml(path))
 
 
 def parse_schedule(path: Path, values: dict[str, Any]) -> Schedule:
-    """Returns the schedule of the file at `path`, whose TOML holds `values`; raises BadFile."""
-    file = checked(path, values, ScheduleFile)
+    """Returns the schedule of the file at `path`, whose TOML holds `values`; raises InvalidFileError."""
+    file = convert_values(path, values, ScheduleFile)
     rows = _RowCollector()
     _check_sections(path, file, rows.errors)
     for name in file.schedule.csv:
@@ -114,7 +114,7 @@
     errors = rows.errors or _problems(path, file, rows.rows)  # of rows that are invalid no gaps are reported
     if errors:
         more = [f"{path}: and more"] if len(errors) > MAX_ERRORS else []
-        raise BadFile(errors[:MAX_ERRORS] + more)
+        raise InvalidFileError(errors[:MAX_ERRORS] + more)
     version = file.schedule.version
     zones = tuple(ZoneQuota(zone.name, zone.calls_per_s) for zone in file.zones)
     intervals = tuple(sorted(row.interval for row in rows.rows))
@@ -161,7 +161,7 @@
 def _collect_csv(path: Path, rows: _RowCollector) -> None:
     try:
         text = read_bounded(path, MAX_CSV_BYTES).decode("utf-8-sig")
-    except BadFile as error:
+    except InvalidFileError as error:
         rows.errors += error.errors
         return
     except UnicodeDecodeError as error:
--- a/brookreach/cli/capacity.py
+++ b/brookreach/cli/capacity.py
@@ -25,7 +25,7 @@
 ) -> None:
     """Print the figures of FILE (TOML: sizes, slopes, budgets), worst ratio to the budget first."""
     from brookreach.capacity import arithmetic, model, read, table
-    from brookreach.files import BadFile, read_toml
+    from brookreach.files import InvalidFileError, read_toml
 
     if role is not None and role not in model.ROLES:
         raise click.UsageError(f"--role {role!r}; allowed: {', '.join(model.ROLES)}")
@@ -33,7 +33,7 @@
         raise click.UsageError("--markdown, --json and --page: one of them is allowed")
     try:
         found = read.capacity(file, read_toml(file))
-    except BadFile as error:
+    except InvalidFileError as error:
         click.echo(str(error), err=True)
         raise SystemExit(BAD_FILE) from None
     found = arithmetic.with_sizes(found, _sizes(changed, list(found.size)))
--- a/brookreach/cli/check.py
+++ b/brookreach/cli/check.py
@@ -19,7 +19,7 @@
 
     try:
         kind, told = files.read(file)
-    except files.BadFile as error:
+    except files.InvalidFileError as error:
         errors = error.errors
         out(as_json, {"file": str(file), "good": False, "errors": errors}, lambda: "\n".join(errors))
         raise SystemExit(1) from None
--- a/brookreach/cli/files.py
+++ b/brookreach/cli/files.py
@@ -14,7 +14,7 @@
 
 from brookreach import interface as ifc
 from brookreach.balancer_settings_reader import read_balancer_settings
-from brookreach.files import MOST_SEALED, BadFile, checked, read_bounded, read_toml
+from brookreach.files import MAX_CHECKSUMMED_BYTES, InvalidFileError, convert_values, read_bounded, read_toml
 from brookreach.model.case import NAMES, Case, start_of
 from brookreach.settings_object import SettingsError
 from brookreach.verdict import notes, plan
@@ -79,17 +79,17 @@
 
 
 def read_plan(file: Path) -> PlanFile:
-    """Raises BadFile."""
-    return checked(file, read_toml(file), PlanFile)
+    """Raises InvalidFileError."""
+    return convert_values(file, read_toml(file), PlanFile)
 
 
 def planned(file: Path | None) -> tuple[ifc.BalancerSettings, plan.Seen, list[tuple[str, float]]]:
-    """Of a plan's file, or of the defaults; raises BadFile."""
+    """Of a plan's file, or of the defaults; raises InvalidFileError."""
     return facts_of(file, read_plan(file)) if file else facts_of(Path("defaults"), PlanFile())
 
 
 def facts_of(file: Path, told: PlanFile) -> tuple[ifc.BalancerSettings, plan.Seen, list[tuple[str, float]]]:
-    """What a marshal would be told and see; raises BadFile with all that no wave can have."""
+    """What a marshal would be told and see; raises InvalidFileError with all that no wave can have."""
     errors = [
         f"{file}: method[{at}].repeat: {one.repeat!r}; {', '.join(REPEATS)} are allowed"
         for at, one in enumerate(told.method)
@@ -107,7 +107,7 @@
         if not 1 <= value <= max(1, told.wave.marshals)
     ]
     if errors:
-        raise BadFile(errors)
+        raise InvalidFileError(errors)
     wave = told.wave
     methods = tuple(
         ifc.Method(
@@ -149,24 +149,24 @@
     try:
         plan.check(start, seen)
     except plan.PlanError as error:
-        raise BadFile([f"{file}: {error}"]) from None
+        raise InvalidFileError([f"{file}: {error}"]) from None
     return start, seen, [(one.what, one.size) for one in told.effect]
 
 
 def read_record(file: Path) -> list[notes.Wave]:
-    """Raises BadFile."""
-    return _waves(file, read_bounded(file, MOST_SEALED))
+    """Raises InvalidFileError."""
+    return _waves(file, read_bounded(file, MAX_CHECKSUMMED_BYTES))
 
 
 def _waves(file: Path, octets: bytes) -> list[notes.Wave]:
     try:
         return notes.decode(octets)
     except notes.RecordError as error:
-        raise BadFile([f"{file}: {error}"]) from None
+        raise InvalidFileError([f"{file}: {error}"]) from None
 
 
 def read(file: Path) -> tuple[str, dict[str, Any]]:
-    """What kind of file it is, and its values; raises BadFile."""
+    """What kind of file it is, and its values; raises InvalidFileError."""
     if file.suffix == ".toml":
         values = read_toml(file)
         if "slope" in values:
@@ -189,10 +189,10 @@
             from brookreach.carbon_aware import schedule_file
 
             return "a power schedule", msgspec.to_builtins(schedule_file.parse_schedule(file, values))
-        told = checked(file, values, PlanFile)
+        told = convert_values(file, values, PlanFile)
         facts_of(file, told)
         return "a plan of a wave", msgspec.to_builtins(told)
-    octets = read_bounded(file, MOST_SEALED)
+    octets = read_bounded(file, MAX_CHECKSUMMED_BYTES)
     if octets.startswith(notes.MAGIC):
         waves = _waves(file, octets)
         return "a record of waves", {
@@ -203,7 +203,9 @@
         told_json = json.loads(octets)
         start = read_balancer_settings(int(str(told_json["seed"]), 16), told_json["settings"])
     except (SettingsError, KeyError, TypeError, ValueError, RecursionError) as error:
-        raise BadFile([f"{file}: no record, and no marshal's configuration: {type(error).__name__} {error}"]) from None
+        raise InvalidFileError(
+            [f"{file}: no record, and no marshal's configuration: {type(error).__name__} {error}"]
+        ) from None
     return "a marshal's configuration", msgspec.to_builtins(start)
 
 
--- a/brookreach/cli/fleet.py
+++ b/brookreach/cli/fleet.py
@@ -131,12 +131,15 @@
     """Returns the nodes of a load balancer's configuration, each with `capacity` for long jobs."""
     from dataclasses import replace
 
-    from brookreach.configuration import BadStart, object_at
+    from brookreach.configuration import StartupError, read_json_object
     from brookreach.disruption.node_agent import nodes_from_configuration
 
     try:
-        return [replace(node, capacity=capacity) for node in nodes_from_configuration(object_at(str(config), "CONFIG"))]
-    except BadStart as error:
+        return [
+            replace(node, capacity=capacity)
+            for node in nodes_from_configuration(read_json_object(str(config), "CONFIG"))
+        ]
+    except StartupError as error:
         raise click.ClickException(str(error)) from None
     except (KeyError, TypeError, ValueError) as error:
         raise click.ClickException(f"{config} is no marshal's configuration: {error!r}") from None
--- a/brookreach/cli/operator_session.py
+++ b/brookreach/cli/operator_session.py
@@ -42,9 +42,9 @@
     """Returns what `call` returns; its expected errors end the command with one line and exit code 1."""
     from brookreach.coordination.client.errors import ClusterUnreachableError
     from brookreach.coordination.errors import StorageError
-    from brookreach.files import BadFile
+    from brookreach.files import InvalidFileError
 
-    expected = (BadFile, StorageError, ClusterUnreachableError)
+    expected = (InvalidFileError, StorageError, ClusterUnreachableError)
     try:
         return call()
     except expected as error:
--- a/brookreach/cli/run.py
+++ b/brookreach/cli/run.py
@@ -42,11 +42,11 @@
     if fleet is None:
         sys.exit(marshal.serve(partial(writer, log), record))
     from brookreach.disruption.balancer_client import BalancerClient
-    from brookreach.files import BadFile
+    from brookreach.files import InvalidFileError
 
     try:
         beside = partial(BalancerClient, path=fleet, restarts=ask_restart)
         sys.exit(marshal.serve(partial(writer, log), record, beside))
-    except BadFile as error:
+    except InvalidFileError as error:
         click.echo(f"brookreach: {error}", err=True)
         sys.exit(2)
--- a/brookreach/cli/scale_control.py
+++ b/brookreach/cli/scale_control.py
@@ -169,13 +169,13 @@
     """Many hollow marshals of the group FILE in one process; commands are JSON lines on standard input."""
     import anyio
 
-    from brookreach.files import BadFile
+    from brookreach.files import InvalidFileError
     from brookreach.scale.hollow_process import BadCommand, HollowProcess
 
     names = [f"m{number}" for number in range(first, first + count)]
     try:
         anyio.run(HollowProcess(file, names, zone, nodes, seed).run, most_seconds)
-    except* (BadFile, BadCommand, PermissionError) as group:
+    except* (InvalidFileError, BadCommand, PermissionError) as group:
         one: BaseException = group
         while isinstance(one, BaseExceptionGroup):
             one = one.exceptions[0]
--- a/brookreach/cli/site.py
+++ b/brookreach/cli/site.py
@@ -14,7 +14,7 @@
     """Play the nodes, discovery and the platform of CONFIG until Ctrl-C, so that a marshal can be tried."""
     import anyio
 
-    from brookreach.configuration import BadStart, object_at
+    from brookreach.configuration import StartupError, read_json_object
     from brookreach.simulation.stand_ins import Site
 
     async def play(played: Site) -> None:
@@ -31,8 +31,8 @@
             click.echo(f"node {at}: {node.served} queries on {node.links} connections")
 
     try:
-        played = Site(object_at(str(config), "CONFIG"))
-    except BadStart as error:
+        played = Site(read_json_object(str(config), "CONFIG"))
+    except StartupError as error:
         raise click.ClickException(str(error)) from None
     except (KeyError, TypeError, ValueError) as error:
         raise click.ClickException(f"{config} is no marshal's configuration: {error!r}") from None
--- a/brookreach/cli/verdict.py
+++ b/brookreach/cli/verdict.py
@@ -21,12 +21,12 @@
 
 
 def or_say(call: Callable[[], Any]) -> Any:
-    from brookreach.files import BadFile
+    from brookreach.files import InvalidFileError
     from brookreach.verdict.plan import PlanError
 
     try:
         return call()
-    except (BadFile, PlanError) as error:
+    except (InvalidFileError, PlanError) as error:
         raise click.ClickException(str(error)) from None
 
 
--- a/brookreach/cli/xds.py
+++ b/brookreach/cli/xds.py
@@ -21,8 +21,8 @@
     import anyio
 
     from brookreach.cli.structured import writer
-    from brookreach.configuration import BadStart
-    from brookreach.files import BadFile
+    from brookreach.configuration import StartupError
+    from brookreach.files import InvalidFileError
     from brookreach.tls.errors import InvalidCredentialsError
     from brookreach.xds.config import read
     from brookreach.xds.service import Service
@@ -30,5 +30,5 @@
     try:
         service = Service(file, read(file), partial(writer, log))
         anyio.run(service.run)
-    except (BadStart, BadFile, InvalidCredentialsError, OSError) as error:
+    except (StartupError, InvalidFileError, InvalidCredentialsError, OSError) as error:
         raise click.ClickException(str(error)) from None
--- a/brookreach/coordination/client/one_shot.py
+++ b/brookreach/coordination/client/one_shot.py
@@ -127,7 +127,7 @@
     """Runs a client of the cluster that the file `path` names, and closes its session at the end.
 
     Raises:
-        BadFile: The file or the key that it names is not valid.
+        InvalidFileError: The file or the key that it names is not valid.
     """
     cluster = configuration.read(path)
     client = OneShotClient(cluster, configuration.read_key(path, cluster), name, kind, tables, timeout_s)
--- a/brookreach/coordination/configuration.py
+++ b/brookreach/coordination/configuration.py
@@ -18,7 +18,7 @@
 
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.timing import Timing
-from brookreach.files import BadFile, checked, read_bounded, read_toml
+from brookreach.files import InvalidFileError, convert_values, read_bounded, read_toml
 from brookreach.net.stream import address
 
 MIN_KEY_BYTES = 32
@@ -101,13 +101,13 @@
 
 
 def read(path: Path) -> ClusterConfiguration:
-    """Reads and checks the file; raises BadFile with all that is wrong in it."""
+    """Reads and checks the file; raises InvalidFileError with all that is wrong in it."""
     return read_values(path, read_toml(path))
 
 
 def read_values(path: Path, values: dict[str, Any]) -> ClusterConfiguration:
-    """Checks the values of a file; raises BadFile with all that is wrong in them."""
-    configuration = checked(path, values, ClusterConfiguration)
+    """Checks the values of a file; raises InvalidFileError with all that is wrong in them."""
+    configuration = convert_values(path, values, ClusterConfiguration)
     errors = [
         *_duplicate_replicas(configuration.replicas),
         *_unusable_addresses(configuration),
@@ -115,7 +115,7 @@
         *_duplicate_budgets(configuration.budgets),
     ]
     if errors:
-        raise BadFile([f"{path}: {error}" for error in errors])
+        raise InvalidFileError([f"{path}: {error}" for error in errors])
     return configuration
 
 
@@ -123,16 +123,16 @@
     """Reads the cluster's key; `path` is the configuration's, beside which the key file stands.
 
     Raises:
-        BadFile: Others may read the key file, or it holds no key.
+        InvalidFileError: Others may read the key file, or it holds no key.
     """
     key_path = path.parent / configuration.group.key
     key = read_bounded(key_path, MAX_KEY_BYTES)
     mode = stat.S_IMODE(key_path.stat().st_mode)
     if mode & OTHERS_ACCESS:
-        raise BadFile([f"{key_path}: mode {mode:o}; others than its owner must have no access: chmod 600"])
+        raise InvalidFileError([f"{key_path}: mode {mode:o}; others than its owner must have no access: chmod 600"])
     if len(key) < MIN_KEY_BYTES:
         allowed = f"{MIN_KEY_BYTES} random bytes or more are allowed"
-        raise BadFile([f"{key_path}: {len(key)} bytes; {allowed}: brookreach fleet key PATH"])
+        raise InvalidFileError([f"{key_path}: {len(key)} bytes; {allowed}: brookreach fleet key PATH"])
     return key
 
 
@@ -140,14 +140,14 @@
     """Writes a new random key to `path`, where no file may stand yet.
 
     Raises:
-        BadFile: The file exists or can't be written.
+        InvalidFileError: The file exists or can't be written.
     """
     try:
         descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, KEY_FILE_MODE)
         with os.fdopen(descriptor, "wb") as file:
             file.write(os.urandom(MIN_KEY_BYTES))
     except OSError as error:
-        raise BadFile([f"{path}: can't be made: {error.strerror}"]) from None
+        raise InvalidFileError([f"{path}: can't be made: {error.strerror}"]) from None
 
 
 def _duplicates(values: Sequence[Hashable]) -> Iterator[int]:
--- a/brookreach/coordination/server/process.py
+++ b/brookreach/coordination/server/process.py
@@ -29,7 +29,7 @@
 from brookreach.coordination.server.transport import LogLine, Transport, describe_first
 from brookreach.coordination.state_machine.application import Application
 from brookreach.coordination.storage.sqlite import SqliteStorage
-from brookreach.files import BadFile
+from brookreach.files import InvalidFileError
 
 MAX_CLIENT_MESSAGES_PER_SAVE = 512
 MAX_READY_ROUNDS = 64  # before the sockets have their turn
@@ -46,13 +46,13 @@
     """Open a replica's storage in the folder that the configuration file names, which is made if need be.
 
     Raises:
-        BadFile: If the file names no such replica.
+        InvalidFileError: If the file names no such replica.
         StorageError: If the storage can't be opened.
     """
     replica = next((replica for replica in cluster.replicas if replica.name == name), None)
     if replica is None:
         known = ", ".join(replica.name for replica in cluster.replicas)
-        raise BadFile([f"{path}: no keeper {name!r}; there are {known}"])
+        raise InvalidFileError([f"{path}: no keeper {name!r}; there are {known}"])
     folder = path.parent / replica.disk
     try:
         folder.mkdir(mode=0o700, parents=True, exist_ok=True)
@@ -72,7 +72,7 @@
         """Read the configuration file and open the storage.
 
         Raises:
-            BadFile: If the file is not usable.
+            InvalidFileError: If the file is not usable.
             StorageError: If the storage is not usable, or holds no replica.
         """
         cluster = configuration.read(path)
@@ -197,7 +197,7 @@
     """Run a replica to its end; returns its exit code."""
     try:
         process = ReplicaProcess(path, name, applications, log)
-    except BadFile as error:
+    except InvalidFileError as error:
         log("keeper", f"can't begin: {error}")
         return EXIT_CONFIGURATION
     except (StorageError, ReplicaHaltedError) as error:
--- a/brookreach/disruption/balancer_client.py
+++ b/brookreach/disruption/balancer_client.py
@@ -36,7 +36,7 @@
 from brookreach.disruption.endpoint_overlay import AgreedDrains, EndpointListener, EndpointOverlay
 from brookreach.disruption.states import TargetStatus
 from brookreach.disruption.tables import BALANCERS, HALT, NODES, PERMITS
-from brookreach.files import BadFile
+from brookreach.files import InvalidFileError
 from brookreach.net.endpoint import Listed
 
 WATCHED_TABLES = (HALT, BALANCERS, NODES, PERMITS)
@@ -117,7 +117,7 @@
         restarts: At SIGTERM it requests a permit for its restart, and does not wait for it.
 
     Raises:
-        BadFile: the group's file or key can't be read, or the balancer's name doesn't fit a group.
+        InvalidFileError: the group's file or key can't be read, or the balancer's name doesn't fit a group.
     """
 
     def __init__(self, parts: BalancerParts, path: Path, restarts: bool):
@@ -130,7 +130,7 @@
         self.restarts = restarts
         self.name = parts.report.name
         if not NAME_PATTERN.fullmatch(self.name):
-            raise BadFile([f"name {self.name!r}: in a group 1 to 64 of A-Z a-z 0-9 . _ - are allowed"])
+            raise InvalidFileError([f"name {self.name!r}: in a group 1 to 64 of A-Z a-z 0-9 . _ - are allowed"])
         self.zone = str(parts.told["settings"]["zones"][parts.driver.start.place.zone])
         self.overlay = _install_overlay(parts)
         self.connect()
--- a/brookreach/disruption/node_agent.py
+++ b/brookreach/disruption/node_agent.py
@@ -187,7 +187,7 @@
     """Agents of these nodes until cancelled.
 
     Raises:
-        BadFile: the group's file or key can't be read.
+        InvalidFileError: the group's file or key can't be read.
     """
     cluster = configuration.read(path)
     key = configuration.read_key(path, cluster)
--- a/brookreach/files.py
+++ b/brookreach/files.py
@@ -13,12 +13,12 @@
 
 import msgspec
 
-MOST_TOML, MOST_SEALED = 1 << 20, 64 << 20  # bytes
+MAX_TOML_BYTES, MAX_CHECKSUMMED_BYTES = 1 << 20, 64 << 20  # bytes
 
 Form = TypeVar("Form")
 
 
-class BadFile(ValueError):
+class InvalidFileError(ValueError):
     """All that is wrong in a file, a line each."""
 
     def __init__(self, errors: list[str]):
@@ -27,33 +27,33 @@
 
 
 def read_bounded(path: Path, most: int) -> bytes:
-    """Raises BadFile."""
+    """Raises InvalidFileError."""
     try:
         with path.open("rb") as file:
             octets = file.read(most + 1)
     except OSError as error:
-        raise BadFile([f"{path}: can't be read: {error.strerror}"]) from None
+        raise InvalidFileError([f"{path}: can't be read: {error.strerror}"]) from None
     if len(octets) > most:
-        raise BadFile([f"{path}: over {most} bytes"])
+        raise InvalidFileError([f"{path}: over {most} bytes"])
     return octets
 
 
 def read_toml(path: Path) -> dict[str, Any]:
-    """Raises BadFile."""
+    """Raises InvalidFileError."""
     try:
-        return tomllib.loads(read_bounded(path, MOST_TOML).decode())
-    except BadFile:
+        return tomllib.loads(read_bounded(path, MAX_TOML_BYTES).decode())
+    except InvalidFileError:
         raise
     except (ValueError, RecursionError) as error:
-        raise BadFile([f"{path}: no TOML: {error}"]) from None
+        raise InvalidFileError([f"{path}: no TOML: {error}"]) from None
 
 
-def checked(path: Path, told: dict[str, Any], form: type[Form]) -> Form:
-    """What a file told as a type of ours; raises BadFile with the key's path."""
+def convert_values(path: Path, told: dict[str, Any], form: type[Form]) -> Form:
+    """What a file told as a type of ours; raises InvalidFileError with the key's path."""
     try:
         return msgspec.convert(told, form)
     except msgspec.ValidationError as error:
-        raise BadFile([f"{path}: {error}"]) from None
+        raise InvalidFileError([f"{path}: {error}"]) from None
 
 
 def replace_file(path: Path, octets: bytes) -> None:
@@ -66,16 +66,16 @@
     os.replace(beside, path)
 
 
-def seal(magic: bytes, value: object) -> bytes:
+def encode_checksummed(magic: bytes, value: object) -> bytes:
     """A first line, the body's checksum, the body."""
     body = msgspec.msgpack.encode(value)
     return magic + zlib.crc32(body).to_bytes(4, "big") + body
 
 
-def unseal(magic: bytes, octets: bytes, form: type[Form], refused: type[ValueError]) -> Form:
-    """What `seal` wrote; raises `refused` for anything else, and says what stands there."""
-    if len(octets) > MOST_SEALED:
-        raise refused(f"{len(octets)} bytes; at most {MOST_SEALED} are read")
+def decode_checksummed(magic: bytes, octets: bytes, form: type[Form], refused: type[ValueError]) -> Form:
+    """What `encode_checksummed` wrote; raises `refused` for anything else, and says what stands there."""
+    if len(octets) > MAX_CHECKSUMMED_BYTES:
+        raise refused(f"{len(octets)} bytes; at most {MAX_CHECKSUMMED_BYTES} are read")
     if not octets.startswith(magic):
         raise refused(f"it begins with {octets[:20]!r}; {magic!r} is read")
     head, body = octets[len(magic) : len(magic) + 4], octets[len(magic) + 4 :]
--- a/brookreach/gang_scheduling/agent/process.py
+++ b/brookreach/gang_scheduling/agent/process.py
@@ -164,7 +164,7 @@
         say: Writes a log line.
 
     Raises:
-        BadFile: if the configuration can't be read.
+        InvalidFileError: if the configuration can't be read.
     """
     settings = configuration.read(path)
     key = configuration.read_key(path, settings)
--- a/brookreach/gang_scheduling/gang_file.py
+++ b/brookreach/gang_scheduling/gang_file.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from brookreach.coordination.state_machine.application import CommandRejectedError
-from brookreach.files import BadFile, checked, read_toml
+from brookreach.files import InvalidFileError, convert_values, read_toml
 from brookreach.gang_scheduling.commands import (
     Capacity,
     DurationMs,
@@ -53,9 +53,9 @@
         now_ms: By which deadlines are checked; 0: deadlines may be past.
 
     Raises:
-        BadFile: with all that is wrong, each by its key's path.
+        InvalidFileError: with all that is wrong, each by its key's path.
     """
-    sections = checked(file, read_toml(file), GangsFile).gangs
+    sections = convert_values(file, read_toml(file), GangsFile).gangs
     names = [section.name for section in sections]
     commands, errors = [], []
     for index, section in enumerate(sections):
@@ -72,7 +72,7 @@
             errors.append(f"{where}: {rejection}")
         commands.append(command)
     if errors:
-        raise BadFile(errors)
+        raise InvalidFileError(errors)
     return commands
 
 
--- a/brookreach/net/limits.py
+++ b/brookreach/net/limits.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from brookreach.balancer_settings_reader import LISTS_ON_REQUEST
+from brookreach.balancer_settings_reader import REGISTRY_MODES
 from brookreach.settings_object import SettingsError, SettingsObject
 
 KIB, MOST_MB = 1024, 1e9
@@ -81,7 +81,7 @@
     """`limits` as the configuration words them, `told` the settings. Raises SettingsError."""
     settings, given = SettingsObject(told, "settings"), SettingsObject(limits, "limits")
     allowed, sockets = settings.object("allowed"), given.count("sockets")
-    longest = max([one.ms("hardLimitUs") for one in settings.objects("classes")], default=0.0) / 1000.0
+    longest = max([one.ms_from_us("hardLimitUs") for one in settings.objects("classes")], default=0.0) / 1000.0
     # A connection costs a descriptor and, at rest, some 4 KiB; a quarter of the memory is for these, a
     # sixteenth each for large messages of clients and of nodes. Descriptors kept back: the epoll,
     # standard streams, the listener, discovery, the feed, votes under way, refused ones, one just accepted.
@@ -97,8 +97,8 @@
     # asked or not: it is asked again so often that a drain's grace is not over before it is heard.
     # A watch of the service that is late may have fallen silent, and what it misses counts as told 2 s
     # past its wait: the next one is opened before the late one is left, and has 1.5 s for its answer.
-    service = settings.word("registryMode", LISTS_ON_REQUEST)
-    within = settings.object("guarantees").ms("askWithinUs") / 1000.0
+    service = settings.choice("registryMode", REGISTRY_MODES)
+    within = settings.object("guarantees").ms_from_us("askWithinUs") / 1000.0
     return Limits(
         one_service=service,
         watch_s=min(within, 60.0) if service else 2.0,  # it waits 60 s at most
@@ -111,9 +111,9 @@
         clients=room * 11 // 20,
         links=room * 9 // 20,
         large=memory // 16,
-        dial_s=allowed.ms("dialTimeoutUs") / 1000.0,
-        idle_s=0.8 * allowed.ms("keepaliveUs") / 1000.0,
-        reply_s=settings.object("familyInfo").ms("answerWaitUs") / 1000.0,
+        dial_s=allowed.ms_from_us("dialTimeoutUs") / 1000.0,
+        idle_s=0.8 * allowed.ms_from_us("keepaliveUs") / 1000.0,
+        reply_s=settings.object("familyInfo").ms_from_us("answerWaitUs") / 1000.0,
         drip_s=max(3.0, longest) + 0.5,
         stop_s=min(KILL_LIMIT_S, longest) + KILL_MARGIN_S - STOP_RESERVE_S,
     )
--- a/brookreach/scale/marshal_plot.py
+++ b/brookreach/scale/marshal_plot.py
@@ -12,7 +12,7 @@
 from matplotlib.axes import Axes  # noqa: E402
 from matplotlib.figure import Figure  # noqa: E402
 
-from brookreach.files import BadFile  # noqa: E402
+from brookreach.files import InvalidFileError  # noqa: E402
 from brookreach.scale.marshal_decisions import SizedCosts  # noqa: E402
 from brookreach.scale.marshal_run import Report  # noqa: E402
 
@@ -20,13 +20,13 @@
 
 
 def read(path: Path) -> Report:
-    """What `brookreach scale marshal --json` printed. Raises BadFile."""
+    """What `brookreach scale marshal --json` printed. Raises InvalidFileError."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=Report)
     except OSError as error:
-        raise BadFile([f"{path}: {error.strerror}"]) from None
+        raise InvalidFileError([f"{path}: {error.strerror}"]) from None
     except msgspec.DecodeError as error:
-        raise BadFile([f"{path} is not what `brookreach scale marshal --json` prints: {error}"]) from None
+        raise InvalidFileError([f"{path} is not what `brookreach scale marshal --json` prints: {error}"]) from None
 
 
 def draw(report: Report) -> Figure:
--- a/brookreach/subsetting/settings.py
+++ b/brookreach/subsetting/settings.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from brookreach.files import BadFile, read_toml
+from brookreach.files import InvalidFileError, read_toml
 
 MAX_COUNT = 1_000_000  # of anything
 MAX_DURATION_MS = 3_600_000
@@ -65,13 +65,13 @@
 
 
 def read_settings(path: Path) -> Settings:
-    """Reads the file; raises BadFile with all that is wrong in it."""
+    """Reads the file; raises InvalidFileError with all that is wrong in it."""
     values = read_toml(path)
     if errors := list(_errors(path, values)):
-        raise BadFile(errors)
+        raise InvalidFileError(errors)
     settings = msgspec.convert(values, Settings)
     if errors := [f"{path}: {text}" for text in contradictions(settings)]:
-        raise BadFile(errors)
+        raise InvalidFileError(errors)
     return settings
 
 
--- a/brookreach/verdict/notes.py
+++ b/brookreach/verdict/notes.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from brookreach import interface as ifc
-from brookreach.files import seal, unseal
+from brookreach.files import decode_checksummed, encode_checksummed
 
 MAGIC = b"brookreach wave 1\n"
 
@@ -52,12 +52,12 @@
 
 def encode(waves: list[Wave]) -> bytes:
     """The file of these waves."""
-    return seal(MAGIC, waves)
+    return encode_checksummed(MAGIC, waves)
 
 
 def decode(octets: bytes) -> list[Wave]:
     """Raises RecordError for what `encode` did not write, or for figures that no wave holds."""
-    waves = unseal(MAGIC, octets, list[Wave], RecordError)
+    waves = decode_checksummed(MAGIC, octets, list[Wave], RecordError)
     for wave in waves:
         _check(wave)
     return waves
--- a/brookreach/xds/config.py
+++ b/brookreach/xds/config.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from brookreach.files import BadFile, checked, read_toml
+from brookreach.files import InvalidFileError, convert_values, read_toml
 from brookreach.xds.serve import Allowed
 
 Ms = Annotated[float, msgspec.Meta(ge=0.0, le=3_600_000.0)]
@@ -55,13 +55,13 @@
 
 
 def read(path: Path) -> ControlFile:
-    """Raises BadFile."""
+    """Raises InvalidFileError."""
     return control(path, read_toml(path))
 
 
 def control(path: Path, values: dict[str, Any]) -> ControlFile:
-    """The values of the file at `path`, checked as a whole; raises BadFile."""
-    told = checked(path, values, ControlFile)
+    """The values of the file at `path`, checked as a whole; raises InvalidFileError."""
+    told = convert_values(path, values, ControlFile)
     errors = []
     host, _, port = told.serve.listen.rpartition(":")
     if not host or not port.isdigit() or not 0 <= int(port) <= 65_535:
@@ -79,5 +79,5 @@
             if "*" in node[:-1] or not node
         ]
     if errors:
-        raise BadFile(errors)
+        raise InvalidFileError(errors)
     return told
--- a/brookreach/xds/service.py
+++ b/brookreach/xds/service.py
@@ -10,8 +10,8 @@
 import anyio
 
 from brookreach.__main__ import Parts
-from brookreach.configuration import object_at
-from brookreach.files import BadFile
+from brookreach.configuration import read_json_object
+from brookreach.files import InvalidFileError
 from brookreach.net.endpoint import Listed
 from brookreach.net.report import Writers
 from brookreach.tls.reloader import CredentialsReloader
@@ -28,7 +28,7 @@
 
     def __init__(self, path: Path, told: ControlFile, lines: Writers | None = None):
         self.path, self.told = path, told
-        marshal = object_at(str(path.parent / told.serve.marshal), f"{path}: serve.marshal")
+        marshal = read_json_object(str(path.parent / told.serve.marshal), f"{path}: serve.marshal")
         self.parts = Parts(marshal, lines)
         self.say = lambda text: self.parts.report.say("xds", text)
         zones = list(marshal["settings"]["zones"])
@@ -150,7 +150,7 @@
         """SIGHUP: what can't be read changes nothing."""
         try:
             told = read(self.path)
-        except BadFile as error:
+        except InvalidFileError as error:
             return self.say(f"configuration not taken: {error}")
         other = [
             name
--- a/brookreach/xds/store.py
+++ b/brookreach/xds/store.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from brookreach.files import MOST_SEALED, replace_file, seal, unseal
+from brookreach.files import MAX_CHECKSUMMED_BYTES, decode_checksummed, encode_checksummed, replace_file
 from brookreach.xds.records import Seat, View
 
 MAGIC = b"brookreach view 1\n"
@@ -27,12 +27,12 @@
 
 
 def encode(view: View, seats: list[Seat]) -> bytes:
-    return seal(MAGIC, Held(view, seats))
+    return encode_checksummed(MAGIC, Held(view, seats))
 
 
 def decode(octets: bytes) -> tuple[View, list[Seat]]:
     """The view, marked as old. Raises StoreError."""
-    held = unseal(MAGIC, octets, Held, StoreError)
+    held = decode_checksummed(MAGIC, octets, Held, StoreError)
     return replace(held.view, fresh=False), held.seats
 
 
@@ -49,7 +49,7 @@
     for one in (path, path.with_name(path.name + ".old")):
         try:
             with one.open("rb") as file:
-                return decode(file.read(MOST_SEALED + 1)), lines
+                return decode(file.read(MAX_CHECKSUMMED_BYTES + 1)), lines
         except FileNotFoundError:
             continue
         except (OSError, StoreError) as error:
