--- a/brookreach/xds/config.py
+++ b/brookreach/xds/config.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from brookreach.files import BadFile, checked, read_toml
+from brookreach.files import InvalidFileError, convert_values, read_toml
 from brookreach.xds.ads_server import NodeIdPermissions
 
 Ms = Annotated[float, msgspec.Meta(ge=0.0, le=3_600_000.0)]
@@ -63,13 +63,13 @@
 
 
 def read_configuration(path: Path) -> ControlFile:
-    """Raises BadFile."""
+    """Raises InvalidFileError."""
     return parse_configuration(path, read_toml(path))
 
 
 def parse_configuration(path: Path, values: dict[str, Any]) -> ControlFile:
-    """The values of the file at `path`, checked as a whole; raises BadFile."""
-    told = checked(path, values, ControlFile)
+    """The values of the file at `path`, checked as a whole; raises InvalidFileError."""
+    told = convert_values(path, values, ControlFile)
     errors = []
     host, _, port = told.serve.listen.rpartition(":")
     if not host or not port.isdigit() or not 0 <= int(port) <= 65_535:
@@ -87,5 +87,5 @@
             if "*" in node[:-1] or not node
         ]
     if errors:
-        raise BadFile(errors)
+        raise InvalidFileError(errors)
     return told
--- a/brookreach/xds/store.py
+++ b/brookreach/xds/store.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from brookreach.files import MOST_SEALED, replace_file, seal, unseal
+from brookreach.files import MAX_CHECKSUMMED_BYTES, decode_checksummed, encode_checksummed, replace_file
 from brookreach.xds.records import BalancerView, NodeAddress
 
 MAGIC = b"brookreach view 1\n"
@@ -27,12 +27,12 @@
 
 
 def encode(view: BalancerView, addresses: list[NodeAddress]) -> bytes:
-    return seal(MAGIC, StoredView(view, addresses))
+    return encode_checksummed(MAGIC, StoredView(view, addresses))
 
 
 def decode(octets: bytes) -> tuple[BalancerView, list[NodeAddress]]:
     """The view, marked as old. Raises StoreError."""
-    held = unseal(MAGIC, octets, StoredView, StoreError)
+    held = decode_checksummed(MAGIC, octets, StoredView, StoreError)
     return replace(held.view, fresh=False), held.addresses
 
 
@@ -49,7 +49,7 @@
     for one in (path, path.with_name(path.name + ".old")):
         try:
             with one.open("rb") as file:
-                return decode(file.read(MOST_SEALED + 1)), lines
+                return decode(file.read(MAX_CHECKSUMMED_BYTES + 1)), lines
         except FileNotFoundError:
             continue
         except (OSError, StoreError) as error:
