--- a/brookreach/benchlink/host.py
+++ b/brookreach/benchlink/host.py
@@ -7,13 +7,13 @@
 
 from brookreach.benchlink.frames import WireError, read_frame, write_frame
 from brookreach.benchlink.words import Record, entry_from, event_from, record_from, start_from, to_ms
-from brookreach.decide import Marshal
 from brookreach.interface import Action, BalancerSettings, DecisionFault, NodeEntry
+from brookreach.policy.balancer import Balancer
 
 
 class Host:
     def __init__(self) -> None:
-        self.lives: dict[int, tuple[Marshal, BalancerSettings]] = {}
+        self.lives: dict[int, tuple[Balancer, BalancerSettings]] = {}
         self.pools: dict[int, tuple[NodeEntry, ...]] = {}
 
     def answer(self, clock_us: int, events: list[Record]) -> list[Record]:
@@ -45,7 +45,7 @@
             raise WireError(f"{name} for instance {instance}: unexpected value {error}") from None
         try:
             if name == "Up":
-                marshal = Marshal(start)
+                marshal = Balancer(start)
                 self.lives[instance] = marshal, start
                 return marshal.begin(now)
             return marshal.handle(now, event)
--- a/brookreach/interface.py
+++ b/brookreach/interface.py
@@ -1,7 +1,7 @@
 """What a marshal is told and what it may do, whichever protocol carries it.
 
 Times are milliseconds (float). Ids of RPCs, nodes and keys are kept as the protocol gave them.
-Nothing here decides anything: a protocol's adapter fills these types in, `brookreach.decide` acts on them.
+Nothing here decides anything: a protocol's adapter fills these types in, `brookreach.policy` acts on them.
 Enumerations and the records of the start stand in modules of their own and are part of the interface.
 """
 
--- a/brookreach/model/world.py
+++ b/brookreach/model/world.py
@@ -14,9 +14,9 @@
 from typing import Any
 
 from brookreach import interface as ifc
-from brookreach.decide import Marshal
 from brookreach.model.case import WORK_MS, Case, start_of
 from brookreach.model.nodes import Job, Node
+from brookreach.policy.balancer import Balancer
 
 ORIGIN_MS = 100_000.0  # virtual time 0 stands for long ago
 NET_MS, NOTICE_MS, BOOT_MS, DRAIN_MS, TOLD_MS = 1.0, (200.0, 800.0), (1000.0, 2400.0), 2000.0, (320.0, 870.0)
@@ -51,7 +51,7 @@
 
     def __init__(self, ordinal: int):
         self.ordinal, self.life, self.up = ordinal, 0, False
-        self.marshal: Marshal | None = None
+        self.marshal: Balancer | None = None
         self.open: dict[int, list[Job]] = {}
         self.ends: dict[int, tuple[float, float, int]] = {}  # RPC: deadline, soft end, method
         self.vote: tuple[ifc.Verdict, int, int, float] | None = None  # verdict, stage, build, when
@@ -66,7 +66,7 @@
         case: Case,
         seed: int,
         watch: Callable[[int, float, object], None] | None = None,
-        make: Callable[[ifc.BalancerSettings], Any] = Marshal,
+        make: Callable[[ifc.BalancerSettings], Any] = Balancer,
     ):
         self.case, self.chance, self.watch, self.make = case, random.Random(seed), watch, make
         self.heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
--- a/brookreach/net/driver.py
+++ b/brookreach/net/driver.py
@@ -1,6 +1,6 @@
 """The one task that owns the module. Others put events into its queue; it keeps timers and hands actions out.
 
-It owns the Marshal, its clock and the table of RPCs that have no final answer, and so sees to it that each
+It owns the Balancer, its clock and the table of RPCs that have no final answer, and so sees to it that each
 gets exactly one. It must never decide: an answer is the first ok of a node, or what the module said.
 """
 
@@ -14,7 +14,6 @@
 import anyio.lowlevel
 
 from brookreach import interface as ifc
-from brookreach.decide import Marshal
 from brookreach.net import pgwire
 from brookreach.net.answers import ABORTED, Slot, pushed_back
 from brookreach.net.clock import Clock as Clock
@@ -28,6 +27,7 @@
 from brookreach.net.report import Report
 from brookreach.net.statement import BadStatement, Statement
 from brookreach.net.timers import Timers
+from brookreach.policy.balancer import Balancer
 
 
 class Driver:
@@ -119,7 +119,7 @@
     def begin(self) -> None:
         """A new life of the module: at the start, and again if it fails."""
         self.timers.forget_tokens()
-        self.marshal = Marshal(self.start)
+        self.marshal = Balancer(self.start)
         self._carry_out(self.marshal.begin(self.clock.now()))
 
     async def run(self) -> None:
--- a/brookreach/net/limits.py
+++ b/brookreach/net/limits.py
@@ -1,7 +1,7 @@
 """Every size, count and time of the network side, in one type that is filled at start and handed down.
 
 It owns the sharing out of descriptors and memory. It must never hold what decides about an RPC, a node or a
-build: such figures stand in `brookreach.decide`.
+build: such figures stand in `brookreach.policy`.
 """
 
 from __future__ import annotations
--- a/brookreach/judge.py
+++ b/brookreach/policy/canary_analysis.py
@@ -1,29 +1,11 @@
 """Whether the build on trial goes on or back: the multichart CUSUM, what earns trust, this marshal's vote.
 
-`Judge` is an actor that `brookreach.decide` calls; what its thresholds promise: `brookreach.verdict.plan`.
+`CanaryAnalysis` is an actor that `brookreach.policy.balancer` calls; what its thresholds promise:
+`brookreach.verdict.plan`.
 """
 
 import math
 
-from brookreach.charts import (
-    ALL,
-    BACKWARDS,
-    BEAT_MS,
-    ENOUGH,
-    FLOOR,
-    FRESH_MS,
-    KEPT_MS,
-    NEVER_RAN,
-    RISE,
-    WARM_UP_MS,
-    Chart,
-    failure_step,
-    rank,
-    rank_step,
-    sees_few,
-    trust_earned,
-    warmth,
-)
 from brookreach.interface import (
     Action,
     BalancerSettings,
@@ -37,29 +19,51 @@
     Verdict,
     Vote,
 )
-from brookreach.node_times import NodeTimes
-from brookreach.parts import Due, Earlier, Part
-from brookreach.tallies import Tallies
-from brookreach.thresholds import Thresholds
+from brookreach.policy.actor import Actor, WorkQueue
+from brookreach.policy.baseline_outcomes import BaselineOutcomes
+from brookreach.policy.common import (
+    EVALUATION_INTERVAL_MS,
+    NEVER_EXECUTED,
+    ROLLBACK_PHASES,
+    WARM_UP_MS,
+    is_low_traffic,
+    slow_start_factor,
+)
+from brookreach.policy.cusum import (
+    ALL_METHODS,
+    BASELINE_FRESH_MS,
+    BASELINE_MAX_AGE_MS,
+    FAILURE_RATE_INCREASE,
+    MIN_BASELINE_OUTCOMES,
+    MIN_BASELINE_RATE,
+    CusumChart,
+    failure_step,
+    is_confidence_reached,
+    rank_score,
+    speed_step,
+)
+from brookreach.policy.node_correlation import NodeCorrelation
+from brookreach.policy.outcome_counts import OutcomeCountsAnalysis
+from brookreach.policy.thresholds import Thresholds
 
 
-class Judge(Part):
+class CanaryAnalysis(Actor):
     """The multichart CUSUM and this marshal's vote."""
 
-    def __init__(self, due: Due, out: list[Action], start: BalancerSettings):
+    def __init__(self, due: WorkQueue, out: list[Action], start: BalancerSettings):
         super().__init__(due)
         self.acts, self.voting, self.methods, self.places, self.trial_nodes = out, start.voting, start.methods, 0, 0
         self.marshals, self.ordinal = max(1, start.place.marshals), start.place.ordinal
         self.ready, self.guards, self.shares = list[NodeEntry](), start.guards, start.rollout.stage_shares
-        self.tally_ms, self.few = start.rollout.tally_ms, sees_few(start)
-        self.tallies = Tallies(start)
-        self.before, self.charts = list[Earlier](), dict[tuple[int, str], Chart]()
+        self.tally_ms, self.few = start.rollout.tally_ms, is_low_traffic(start)
+        self.tallies = OutcomeCountsAnalysis(start)
+        self.before, self.charts = list[BaselineOutcomes](), dict[tuple[int, str], CusumChart]()
         self.news: RolloutStatus | None = None
         self.cast: tuple[Verdict, int, int] | None = None
         self.stage_at, self.cast_at, self.retry_at, self.sure, self.seen = 0.0, 0.0, 0.0, False, 0
         # The build whose chart crossed; RPCs a second; log of the share of failures; if earlier nodes last.
         self.crossed, self.flow, self.rare, self.abreast = -1, 0.0, 0.0, False
-        self.start, self.times = start, NodeTimes()
+        self.start, self.times = start, NodeCorrelation()
         self.plan(0.0)
 
     def plan(self, flow: float) -> None:
@@ -81,37 +85,38 @@
         if (
             news is None
             or entry.build > news.build
-            or ending in NEVER_RAN
+            or ending in NEVER_EXECUTED
             or (ending in (Outcome.CANCELLED, Outcome.TIMEOUT) and not late)
         ):
             return  # the build did not see it, or it was cut shorter than the soft deadline
         failure = late or ending != Outcome.OK
-        pace = math.log(max(1.0, took * warmth(entry, sent, self.guards)) / unit)
+        pace = math.log(max(1.0, took * slow_start_factor(entry, sent, self.guards)) / unit)
         earlier = self.before[method]
         # Held against the earlier build meanwhile: jams make both wait. Once it has few nodes, errors tell.
         cold = entry.started_ms > 0.0 and sent < entry.started_ms + WARM_UP_MS
         beside = earlier.beside(now) if self.abreast and not cold else []
-        like, weight, score, low = len(beside) >= ENOUGH, 0.0, 0.0, sorted([one[2] for one in beside])
+        like, weight, score, low = len(beside) >= MIN_BASELINE_OUTCOMES, 0.0, 0.0, sorted([one[2] for one in beside])
         if like and ending == Outcome.OK:  # what never answered took no time that can be held against it
-            score = rank(pace, low)
+            score = rank_score(pace, low)
             weight = self.times.weigh(now, entry.node, score, entry.build < news.build)
         if entry.build < news.build:
             return earlier.kept.append((sent, now, pace, failure and not late, failure))
-        if news.phase in BACKWARDS or (
-            news.phase == RolloutPhase.RELEASED and (len(earlier.kept) < ENOUGH or now - earlier.kept[-1][1] > KEPT_MS)
+        if news.phase in ROLLBACK_PHASES or (
+            news.phase == RolloutPhase.RELEASED
+            and (len(earlier.kept) < MIN_BASELINE_OUTCOMES or now - earlier.kept[-1][1] > BASELINE_MAX_AGE_MS)
         ):
             return  # decided, or nothing left to compare with
         self.seen += 1
         if not late or like:
-            before = max(FLOOR, earlier.errors())
+            before = max(MIN_BASELINE_RATE, earlier.errors())
             if late:  # one more than was seen: few tell little
                 before = max(before, (sum([one[4] for one in beside]) + 1.0) / (len(beside) + 1.0))
-            for stream, rise in ((method, RISE), (ALL, self.thresholds.rise)):
+            for stream, rise in ((method, FAILURE_RATE_INCREASE), (ALL_METHODS, self.thresholds.rise)):
                 size = failure_step(failure, before, rise)
                 self.step(now, stream, "failures", size, before, entry.node)
         if weight:
-            for stream in (method, ALL):
-                self.step(now, stream, "speed", weight * rank_step(score, low), self.times.correlation, entry.node)
+            for stream in (method, ALL_METHODS):
+                self.step(now, stream, "speed", weight * speed_step(score, low), self.times.correlation, entry.node)
 
     def tally(self, now: float, told: OutcomeCounts) -> None:
         """What the platform counted of all picks, for a marshal that sees few."""
@@ -120,7 +125,7 @@
             return
         steps = self.tallies.observe(now, told, news, self.ready, self.thresholds, self.abreast)
         if self.tallies.load_rose:
-            self.charts.pop((ALL, "burden"), None)
+            self.charts.pop((ALL_METHODS, "burden"), None)
         for one in steps:
             self.step(now, one.method, one.stream, one.size, one.before)
 
@@ -128,7 +133,7 @@
         limit = (
             self.thresholds.tallied if node < 0 else self.thresholds.own + (self.rare if stream == "failures" else 0.0)
         )
-        news, chart = self.news, self.charts.setdefault((method, stream), Chart(limit))
+        news, chart = self.news, self.charts.setdefault((method, stream), CusumChart(limit))
         chart.threshold = limit  # one bad node is no bad build: two must contribute, or more
         chart.step(size, node, math.inf if node < 0 else max(3.2, 1.25 * limit / max(2, self.trial_nodes)))
         if news is None or chart.level < limit:
@@ -145,7 +150,7 @@
         )
         if sure and self.crossed < 0:
             self.crossed = news.build
-            name = f"back {news.build}: " + ("all" if method == ALL else f"method {method}")
+            name = f"back {news.build}: " + ("all" if method == ALL_METHODS else f"method {method}")
             self.acts.append(
                 LogLine(
                     f"{name} {stream} {chart.level:.1f} of {chart.threshold:.1f}, before {before:.3f}, "
@@ -167,7 +172,10 @@
         if old is None or news.build != old.build:
             self.plan(self.flow)
             if old is None or old.phase == RolloutPhase.RELEASED:
-                self.before = [Earlier(200, ENOUGH, FRESH_MS, KEPT_MS) for _ in self.methods]
+                self.before = [
+                    BaselineOutcomes(200, MIN_BASELINE_OUTCOMES, BASELINE_FRESH_MS, BASELINE_MAX_AGE_MS)
+                    for _ in self.methods
+                ]
                 self.times.forget_nodes()
             self.charts, self.crossed = {}, -1
         if old is None or (news.build, news.stage, news.phase) != (old.build, old.stage, old.phase):
@@ -186,7 +194,7 @@
     def trusted(self, opens: float) -> bool:
         """Whether what was seen speaks for the build as far as the share that `on` opens asks for."""
         need = max(0.5, self.thresholds.trust + math.log(max(1e-3, opens)))
-        return trust_earned(self.charts, need, len(self.methods), self.few, self.seen)
+        return is_confidence_reached(self.charts, need, len(self.methods), self.few, self.seen)
 
     def wanted(self, now: float, news: RolloutStatus) -> Verdict:
         if self.crossed == news.build and news.phase in (RolloutPhase.ON_TRIAL, RolloutPhase.RELEASED):
@@ -197,7 +205,7 @@
         if self.voting.gate == PromotionGate.CLOCK:
             return Verdict.HOLD if doubt else Verdict.NONE
         starts = [entry.started_ms for entry in self.ready if entry.build == news.build]
-        if not starts or now < max(starts) + WARM_UP_MS + BEAT_MS:  # a beat for late clocks
+        if not starts or now < max(starts) + WARM_UP_MS + EVALUATION_INTERVAL_MS:  # a beat for late clocks
             return Verdict.NONE
         awaited = math.ceil(self.shares[news.stage] * self.places - 0.01)
         if len(starts) < awaited and now < self.stage_at + 10_000.0:
@@ -217,8 +225,8 @@
         return Verdict.NONE if waited < most and not self.trusted(opens) else Verdict.ON
 
     def decide(self, now: float) -> None:
-        news, shares = self.news, [one.errors() for one in self.before if len(one.kept) >= ENOUGH]
-        self.rare = math.log(max(FLOOR, *shares)) if shares else 0.0  # charts climb from a failure only
+        news, shares = self.news, [one.errors() for one in self.before if len(one.kept) >= MIN_BASELINE_OUTCOMES]
+        self.rare = math.log(max(MIN_BASELINE_RATE, *shares)) if shares else 0.0  # charts climb from a failure only
         if news is None or now < self.retry_at:
             return
         want = self.wanted(now, news)
--- a/brookreach/charts.py
+++ b/brookreach/policy/cusum.py
@@ -1,42 +1,22 @@
-"""What builds are judged by: steps, ranks, charts; and what all parts of the module must see alike."""
+"""What builds are judged by: steps, ranks, charts."""
 
 import math
 from bisect import bisect
 
-from brookreach.interface import (
-    BalancerSettings,
-    NodeEntry,
-    Outcome,
-    OutcomeCounts,
-    RolloutPhase,
-    RolloutStatus,
-    SafetyLimits,
-)
+from brookreach.interface import OutcomeCounts
 
-BACKWARDS, NEVER_RAN = (
-    (RolloutPhase.GOING_BACK, RolloutPhase.WITHDRAWN),
-    (Outcome.FULL, Outcome.NO_CONNECT, Outcome.MOOT),
-)
-FLOOR, BEAT_MS, WARM_UP_MS = 0.02, 250.0, 3000.0  # FLOOR: of the before-rate; WARM_UP_MS: a trial node's
-ENOUGH, FRESH_MS, KEPT_MS = 20, 4000.0, 20_000.0  # outcomes that tell a rate; how old they may be
-RISE, RISES, SLOWER = 0.15, (0.05, 0.08, 0.11), 1.6  # of failures, by stream and over all; work: told apart
-ALL = -1  # the stream over all methods
-
-
-def warmth(entry: NodeEntry, now: float, guards: SafetyLimits) -> float:
-    """The share of its capacity that a node has at least: it rises evenly at the slowest."""
-    age = max(0.0, now - entry.started_ms) if entry.started_ms else math.inf
-    return min(1.0, guards.cold_share + (1.0 - guards.cold_share) * age / guards.warm_ms)
-
-
-def on_trial(news: RolloutStatus | None, build: int) -> bool:
-    """Whether the exposure rule holds for a build; one that is not announced yet counts as on trial."""
-    return news is None or build > news.build or (build == news.build and news.phase != RolloutPhase.RELEASED)
-
-
-def sees_few(start: BalancerSettings) -> bool:
-    """Whether a tally holds far more of the picks than a marshal sees of them on an even spread."""
-    return start.rollout.tally_ms > 0.0 and start.rollout.tally_sample * start.place.marshals > 4.0
+MIN_BASELINE_RATE = 0.02  # of the before-rate
+MIN_BASELINE_OUTCOMES, BASELINE_FRESH_MS, BASELINE_MAX_AGE_MS = (
+    20,
+    4000.0,
+    20_000.0,
+)  # outcomes that tell a rate; how old they may be
+FAILURE_RATE_INCREASE, OVERALL_FAILURE_RATE_INCREASES, SLOWDOWN_RATIO = (
+    0.15,
+    (0.05, 0.08, 0.11),
+    1.6,
+)  # of failures, by stream and over all; work: told apart
+ALL_METHODS = -1  # the stream over all methods
 
 
 def failure_step(failure: bool, before: float, rise: float) -> float:
@@ -46,13 +26,13 @@
     return math.log(after / before) if failure else math.log((1.0 - after) / (1.0 - before))
 
 
-def drift(rise: float) -> float:
+def mean_failure_step(rise: float) -> float:
     """What an outcome adds to a chart on average where the build fails by `rise` over the floor."""
-    up, down = failure_step(True, FLOOR, rise), failure_step(False, FLOOR, rise)
-    return (FLOOR + rise) * up + (1.0 - FLOOR - rise) * down
+    up, down = failure_step(True, MIN_BASELINE_RATE, rise), failure_step(False, MIN_BASELINE_RATE, rise)
+    return (MIN_BASELINE_RATE + rise) * up + (1.0 - MIN_BASELINE_RATE - rise) * down
 
 
-def rank(pace: float, low: list[float]) -> float:
+def rank_score(pace: float, low: list[float]) -> float:
     """Where a time stands among the sorted ones of the earlier build, as a score that is about normal.
 
     Jams move both, a crawling node of the earlier build the end only.
@@ -61,20 +41,20 @@
     return math.log(above / (len(low) + 1.0 - above)) / 1.7
 
 
-def rank_step(score: float, low: list[float]) -> float:
-    """The step for such a score: a build that takes `SLOWER` times as long to one that is alike."""
+def speed_step(score: float, low: list[float]) -> float:
+    """The step for such a score: a build that takes `SLOWDOWN_RATIO` times as long to one that is alike."""
     spread = max(0.1, (low[3 * len(low) // 4] - low[len(low) // 4]) / 1.35)
-    shift = min(1.2, math.log(SLOWER) / spread)
+    shift = min(1.2, math.log(SLOWDOWN_RATIO) / spread)
     return max(-2.0, min(2.0, shift * (score - 0.5 * shift)))  # one answer counts no more than an error would
 
 
-def slower(told: OutcomeCounts, count: float, total_ms: float, shift: float) -> float:
+def mean_duration_step(told: OutcomeCounts, count: float, total_ms: float, shift: float) -> float:
     """The step for a mean beside `count` answers; of few, far below tells no more than as usual."""
     longer = math.log(max(1.0, told.mean_ms * count / max(1.0, total_ms)))
     return shift * (longer - 0.5 * shift) / (1.0 / (told.count - told.failed) + 1.0 / (count + 1.0))
 
 
-class Chart:
+class CusumChart:
     """One stream's CUSUM, at 0 or above. What one node has added since it last stood at 0 ends at `most`.
 
     `trust` is the sum of the same steps without the floor: far below 0, the build is as good as the last.
@@ -94,7 +74,9 @@
             self.added.clear()
 
 
-def trust_earned(charts: dict[tuple[int, str], Chart], need: float, methods: int, few: bool, seen: int) -> bool:
+def is_confidence_reached(
+    charts: dict[tuple[int, str], CusumChart], need: float, methods: int, few: bool, seen: int
+) -> bool:
     """Whether the charts by (method, stream) speak for the build by `need`, over all methods and in each one.
 
     `seen` outcomes are this balancer's own; where `few` are seen the tallied charts are asked.
@@ -105,7 +87,7 @@
         kind: [
             chart.trust
             for (method, stream), chart in charts.items()
-            if stream == kind and method != ALL and chart.seen >= rare
+            if stream == kind and method != ALL_METHODS and chart.seen >= rare
         ]
         for kind in (failed, slow)
     }
--- a/brookreach/node_times.py
+++ b/brookreach/policy/node_correlation.py
@@ -2,14 +2,14 @@
 
 import math
 
-from brookreach.charts import FRESH_MS
+from brookreach.policy.cusum import BASELINE_FRESH_MS
 
-MEMORY_MS = 0.25 * FRESH_MS  # how long a time of a node counts as one of late
+MEMORY_MS = 0.25 * BASELINE_FRESH_MS  # how long a time of a node counts as one of late
 LEARNING_RATE = 0.01
 MAX_CORRELATION = 0.8
 
 
-class NodeTimes:
+class NodeCorrelation:
     """The correlation of scores of one node, learned on the earlier build, and each node's last score."""
 
     def __init__(self) -> None:
--- a/brookreach/tallies.py
+++ b/brookreach/policy/outcome_counts.py
@@ -3,9 +3,17 @@
 import math
 from typing import NamedTuple
 
-from brookreach.charts import ALL, ENOUGH, FLOOR, RISE, WARM_UP_MS, failure_step, slower, warmth
 from brookreach.interface import BalancerSettings, NodeEntry, OutcomeCounts, RolloutPhase, RolloutStatus
-from brookreach.thresholds import Thresholds
+from brookreach.policy.common import WARM_UP_MS, slow_start_factor
+from brookreach.policy.cusum import (
+    ALL_METHODS,
+    FAILURE_RATE_INCREASE,
+    MIN_BASELINE_OUTCOMES,
+    MIN_BASELINE_RATE,
+    failure_step,
+    mean_duration_step,
+)
+from brookreach.policy.thresholds import Thresholds
 
 DECAY = 0.5  # of what earlier periods told, with each tally
 BUSY = 1.2  # times the usual load: from here on load alone explains longer times
@@ -22,7 +30,7 @@
     before: float
 
 
-class Tallies:
+class OutcomeCountsAnalysis:
     """Tallies of the earlier build by method, the load, and the steps that a tally of the build on trial gives."""
 
     def __init__(self, start: BalancerSettings) -> None:
@@ -55,18 +63,18 @@
                 now,
             ]
             return steps
-        if news.phase != RolloutPhase.ON_TRIAL or count < ENOUGH or now - at > 2.5 * self.tally_ms:
+        if news.phase != RolloutPhase.ON_TRIAL or count < MIN_BASELINE_OUTCOMES or now - at > 2.5 * self.tally_ms:
             return steps  # decided, or nothing left to compare with
-        before = max(FLOOR, failed / count)
-        for stream, rise in ((told.method, RISE), (ALL, thresholds.rise)):
+        before = max(MIN_BASELINE_RATE, failed / count)
+        for stream, rise in ((told.method, FAILURE_RATE_INCREASE), (ALL_METHODS, thresholds.rise)):
             size = told.failed * failure_step(True, before, rise) + good * failure_step(False, before, rise)
             size = min(thresholds.max_tally_steps[stream], size)
             steps.append(ChartStep(stream, "tallied failures", size, before))
         # Of the machines that ran by then, none in its first seconds: what it held up then waits on.
         ran = [one.started_ms for one in ready if one.build == news.build and one.started_ms < end]
         if good and failed < count and ran and max(ran) + WARM_UP_MS <= end - self.tally_ms:
-            size = slower(told, count - failed, total_ms, SPEED_SHIFT)
-            for stream in (told.method, ALL):
+            size = mean_duration_step(told, count - failed, total_ms, SPEED_SHIFT)
+            for stream in (told.method, ALL_METHODS):
                 steps.append(ChartStep(stream, "tallied speed", thresholds.bounded(stream, size), before))
         return steps
 
@@ -85,14 +93,14 @@
         calm = news.phase != RolloutPhase.ON_TRIAL or news.stage == 0
         self.load_rose = False
         if now > self.heard_at + 0.5 * self.tally_ms:  # the first of a period, whose order tells nothing
-            capacity = sum([one.size * warmth(one, now, self.guards) for one in ready])
+            capacity = sum([one.size * slow_start_factor(one, now, self.guards) for one in ready])
             self._begin_period(capacity, calm)
         self.counted += told.count
         if calm:
             self.quiet[told.method] = DECAY * count + good, DECAY * total_ms + told.mean_ms * good
         elif abreast and good and told.build < news.build and self.load < BUSY * self.usual_load:
-            size = slower(told, count, total_ms, BURDEN_SHIFT)  # the nodes', whatever the method
-            return [ChartStep(ALL, "burden", thresholds.bounded(ALL, size), 0.0)]
+            size = mean_duration_step(told, count, total_ms, BURDEN_SHIFT)  # the nodes', whatever the method
+            return [ChartStep(ALL_METHODS, "burden", thresholds.bounded(ALL_METHODS, size), 0.0)]
         return []
 
     def _begin_period(self, capacity: float, calm: bool) -> None:
--- a/brookreach/scale/marshal_build.py
+++ b/brookreach/scale/marshal_build.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import brookreach
-from brookreach import decide
+from brookreach.policy import balancer
 
 PACKAGE = Path(brookreach.__file__).parent
 
@@ -28,14 +28,14 @@
 
 def source() -> Build:
     """The package that this process runs."""
-    return Build(PACKAGE.parent, not str(decide.__file__).endswith(".py"))
+    return Build(PACKAGE.parent, not str(balancer.__file__).endswith(".py"))
 
 
 def present() -> Build:
     """What `make build` made, if it is of this source."""
     here = source()
     made = here.root / "build" / "lib"
-    if here.compiled or not list((made / PACKAGE.name).glob("decide.*.so")):
+    if here.compiled or not list((made / PACKAGE.name / "policy").glob("balancer.*.so")):
         return here
     return Build(made, True) if _same(made / PACKAGE.name) else here
 
--- a/brookreach/scale/marshal_load.py
+++ b/brookreach/scale/marshal_load.py
@@ -1,4 +1,4 @@
-"""RPCs put to one real `Marshal` under a virtual clock, as net/driver puts them: each costs what its events cost.
+"""RPCs put to one real `Balancer` under a virtual clock, as net/driver puts them: each costs what its events cost.
 
 It owns the clock, the timers and the answers of nodes. It must never change what the marshal decides.
 """
@@ -12,8 +12,8 @@
 from dataclasses import dataclass, field
 
 from brookreach import interface as ifc
-from brookreach.decide import Marshal
-from brookreach.desk import BEAT
+from brookreach.policy.balancer import Balancer
+from brookreach.policy.timer_tokens import EVALUATION_TIMER
 from brookreach.scale.marshal_situations import Situation
 
 RATE_PER_S = 169.0  # RPCs of one marshal: 150,000 a second over 890
@@ -77,7 +77,7 @@
         self.open: dict[int, int] = {}  # RPCs without a final answer: how many picks each has had
         self.again: set[int] = set()  # RPCs that had a second pick
         self.spent = Spent()
-        self.marshal = Marshal(start)
+        self.marshal = Balancer(start)
         self.carry_out(self.marshal.begin(self.now))
         self.tell_list(ifc.ListKind.FULL, tuple(situation.entries))
         self.handle(situation.news(), self.spent.news.append)
@@ -109,7 +109,7 @@
                 self.set(self.situation.every_ms, what)
             case Reply():
                 self.handle(self.situation.news(reply=True), self.spent.news.append)
-            case ifc.TimerFired(token=token) if token % TIMERS_PER_RPC == BEAT:
+            case ifc.TimerFired(token=token) if token % TIMERS_PER_RPC == EVALUATION_TIMER:
                 self.handle(what, self.spent.beats.append)
             case ifc.TimerFired(token=token):
                 self.handle_for(token // TIMERS_PER_RPC, what)
--- a/brookreach/scale/marshal_work.py
+++ b/brookreach/scale/marshal_work.py
@@ -12,9 +12,45 @@
 from typing import Any
 
 import brookreach
-from brookreach import charts, decide, desk, judge, node_times, parts, roster, tallies, thresholds
+from brookreach.policy import (
+    actor,
+    balancer,
+    baseline_outcomes,
+    canary_analysis,
+    common,
+    cusum,
+    node_correlation,
+    node_registry,
+    outcome_counts,
+    request_router,
+    retry_rules,
+    routed_rpc,
+    sliding_window,
+    thresholds,
+    timer_tokens,
+    tracked_node,
+    weighted_nodes,
+)
 
-MODULES = (decide, desk, roster, judge, charts, thresholds, node_times, tallies, parts)
+MODULES = (
+    balancer,
+    request_router,
+    timer_tokens,
+    node_registry,
+    tracked_node,
+    retry_rules,
+    canary_analysis,
+    cusum,
+    common,
+    thresholds,
+    node_correlation,
+    outcome_counts,
+    actor,
+    routed_rpc,
+    baseline_outcomes,
+    sliding_window,
+    weighted_nodes,
+)
 
 
 class NotCountable(Exception):
--- a/brookreach/scale/marshal_worker.py
+++ b/brookreach/scale/marshal_worker.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from brookreach import decide
+from brookreach.policy import balancer
 from brookreach.scale import marshal_decisions as decisions
 from brookreach.scale import marshal_lists as lists
 from brookreach.scale.marshal_sizes import Size
@@ -32,7 +32,7 @@
 
 
 def reply_to(request: Request) -> Reply:
-    compiled = not str(decide.__file__).endswith(".py")
+    compiled = not str(balancer.__file__).endswith(".py")
     match request.what:
         case "timed":
             return Reply(compiled, decisions.timed(request.size, request.rpcs, request.seed))
--- a/brookreach/verdict/chain.py
+++ b/brookreach/verdict/chain.py
@@ -1,7 +1,7 @@
 """A chart as a Markov chain: how long it runs, and how likely it crosses within so many outcomes.
 
 The recursion level = max(level + step, 0) is put on a grid of levels. Steps of a failure chart take two
-values, those of a speed chart are normal and clipped as `brookreach.judge` clips them. After Brook and Evans
+values, those of a speed chart are normal and clipped as `brookreach.policy.cusum` clips them. After Brook and Evans
 (1972), An approach to the probability distribution of CUSUM run length; the corrected means follow Siegmund
 (1985), Sequential Analysis, chapter X. Needs numpy; nothing that a marshal runs imports this.
 """
@@ -15,7 +15,7 @@
 import numpy as np
 from numpy.typing import NDArray
 
-from brookreach.charts import ENOUGH, failure_step, rank, rank_step
+from brookreach.policy.cusum import MIN_BASELINE_OUTCOMES, failure_step, rank_score, speed_step
 
 Steps = Sequence[tuple[float, float]]
 """(size, probability) of one outcome's step; the probabilities add up to 1."""
@@ -40,9 +40,9 @@
     scores = np.linspace(mean - 4.0, mean + 4.0, points)
     chances = np.exp(-0.5 * (scores - mean) ** 2)
     chances /= chances.sum()
-    ends = rank(math.inf, [0.0] * 2 * ENOUGH)  # no rank among so many is further out
+    ends = rank_score(math.inf, [0.0] * 2 * MIN_BASELINE_OUTCOMES)  # no rank among so many is further out
     low = [0.0, 0.0, 0.0, 1.35 * spread]  # times whose quartiles lie as the spread says
-    sizes = [weight * rank_step(score, low) for score in np.clip(scores, -ends, ends).tolist()]
+    sizes = [weight * speed_step(score, low) for score in np.clip(scores, -ends, ends).tolist()]
     return list(zip(sizes, chances.tolist(), strict=True))
 
 
--- a/brookreach/verdict/plan.py
+++ b/brookreach/verdict/plan.py
@@ -1,8 +1,8 @@
 """The plan of a wave, before it: what its charts promise at the rates that its operators state.
 
 Facts come from `interface.Start`, what is seen from `Seen`; thresholds, rises and waits are read from a
-`brookreach.judge.Judge` made of them, so that the plan speaks of the charts that decide. Error rates come
-from `brookreach.verdict.chain`; they are for the whole wave, over all marshals, methods and charts.
+`CanaryAnalysis` made of them, so that the plan speaks of the charts that decide. Error rates come from
+`brookreach.verdict.chain`; they are for the whole wave, over all marshals, methods and charts.
 """
 
 from __future__ import annotations
@@ -13,8 +13,9 @@
 from dataclasses import replace
 
 from brookreach import interface as ifc
-from brookreach.charts import FLOOR, RISE, WARM_UP_MS
-from brookreach.judge import Judge
+from brookreach.policy.canary_analysis import CanaryAnalysis
+from brookreach.policy.common import WARM_UP_MS
+from brookreach.policy.cusum import FAILURE_RATE_INCREASE, MIN_BASELINE_RATE
 from brookreach.verdict.chain import Chain, failure_steps, mean_and_root, siegmund, speed_steps
 from brookreach.verdict.plan_records import Effect, Plan, PlanError, Seen, Stage, check, check_number
 
@@ -24,19 +25,19 @@
 WORKS = (1.2, 1.3, 1.4, 1.5, 1.6, 1.8, 2.0, 2.5, 3.0, 4.0)
 
 
-def judge_of(start: ifc.BalancerSettings, seen: Seen) -> Judge:
+def judge_of(start: ifc.BalancerSettings, seen: Seen) -> CanaryAnalysis:
     """The judge whose thresholds the wave will have."""
-    judge = Judge(deque(), [], start)
+    judge = CanaryAnalysis(deque(), [], start)
     judge.plan(seen.rpcs_per_s)
     return judge
 
 
-def failing_threshold(judge: Judge, seen: Seen) -> float:
+def failing_threshold(judge: CanaryAnalysis, seen: Seen) -> float:
     """Of the failures charts: they climb from a failure only, so they stand lower by the rate of failures."""
-    return judge.thresholds.own + math.log(max([FLOOR, *seen.failures]))
+    return judge.thresholds.own + math.log(max([MIN_BASELINE_RATE, *seen.failures]))
 
 
-def stages_of(start: ifc.BalancerSettings, judge: Judge, seen: Seen) -> tuple[Stage, ...]:
+def stages_of(start: ifc.BalancerSettings, judge: CanaryAnalysis, seen: Seen) -> tuple[Stage, ...]:
     """Stages of a build that earns no trust, so that each wait ends by its price.
 
     Where trust speaks strongly against a build the wait is doubled; nothing is promised from that.
@@ -69,16 +70,16 @@
     return 1.0 - (1.0 - float(curve[-1])) * math.exp(-rate * (count - played))
 
 
-def false_alarm(start: ifc.BalancerSettings, judge: Judge, seen: Seen, outcomes: float) -> float:
+def false_alarm(start: ifc.BalancerSettings, judge: CanaryAnalysis, seen: Seen, outcomes: float) -> float:
     """Of a whole wave of a build that is like the last, over all marshals, methods and charts."""
     kept = 1.0
     overall = math.fsum(share * rate for share, rate in zip(seen.shares, seen.failures, strict=True))
-    streams = [(share, rate, RISE) for share, rate in zip(seen.shares, seen.failures, strict=True)]
+    streams = [(share, rate, FAILURE_RATE_INCREASE) for share, rate in zip(seen.shares, seen.failures, strict=True)]
     streams.append((1.0, overall, judge.thresholds.rise))
     weight, failing = (1.0 - seen.alike) ** 2, failing_threshold(judge, seen)
     for share, rate, rise in streams:
         own = outcomes * share
-        kept *= 1.0 - _crossed(failure_steps(rate, max(FLOOR, rate), rise), failing, own)
+        kept *= 1.0 - _crossed(failure_steps(rate, max(MIN_BASELINE_RATE, rate), rise), failing, own)
         kept *= 1.0 - _crossed(speed_steps(1.0, seen.spread, weight), judge.thresholds.own, own)
     return 1.0 - kept**start.place.marshals
 
@@ -91,7 +92,9 @@
     return threshold / max(1e-12, kl)
 
 
-def effect_of(start: ifc.BalancerSettings, judge: Judge, seen: Seen, outcomes: float, what: str, size: float) -> Effect:
+def effect_of(
+    start: ifc.BalancerSettings, judge: CanaryAnalysis, seen: Seen, outcomes: float, what: str, size: float
+) -> Effect:
     """`what` is "all", a method's name, or "work"; `size` more failures, or so many times the work."""
     names = [method.name for method in start.methods]
     overall = math.fsum(s * r for s, r in zip(seen.shares, seen.failures, strict=True))
@@ -103,15 +106,22 @@
         shift = math.log(size) / seen.spread
         bound = limit / max(1e-12, 0.5 * shift * shift)
     elif what == "all":
-        charts.append((failure_steps(min(1.0, overall + size), max(FLOOR, overall), judge.thresholds.rise), outcomes))
-        bound = _bound(size, max(FLOOR, overall), limit)
+        charts.append(
+            (failure_steps(min(1.0, overall + size), max(MIN_BASELINE_RATE, overall), judge.thresholds.rise), outcomes)
+        )
+        bound = _bound(size, max(MIN_BASELINE_RATE, overall), limit)
     else:
         at = names.index(what)
         rate, share = seen.failures[at], seen.shares[at]
-        charts.append((failure_steps(min(1.0, rate + size), max(FLOOR, rate), RISE), outcomes * share))
+        charts.append(
+            (
+                failure_steps(min(1.0, rate + size), max(MIN_BASELINE_RATE, rate), FAILURE_RATE_INCREASE),
+                outcomes * share,
+            )
+        )
         mixed = min(1.0, overall + share * size)
-        charts.append((failure_steps(mixed, max(FLOOR, overall), judge.thresholds.rise), outcomes))
-        bound = _bound(size, max(FLOOR, rate), limit) / max(1e-9, share)
+        charts.append((failure_steps(mixed, max(MIN_BASELINE_RATE, overall), judge.thresholds.rise), outcomes))
+        bound = _bound(size, max(MIN_BASELINE_RATE, rate), limit) / max(1e-9, share)
     alarm = max(_crossed(steps, limit, own) for steps, own in charts)
     # The best chart's own time, in outcomes of the marshal over all methods.
     needed = min(
@@ -122,7 +132,9 @@
     return Effect(what, size, miss, needed, bound, miss <= start.stated.miss)
 
 
-def least_of(start: ifc.BalancerSettings, judge: Judge, seen: Seen, outcomes: float, what: str) -> float | None:
+def least_of(
+    start: ifc.BalancerSettings, judge: CanaryAnalysis, seen: Seen, outcomes: float, what: str
+) -> float | None:
     """The least size of an effect that the wave tells apart at the stated miss; None where it tells none."""
     for size in WORKS if what == "work" else RISES:
         if effect_of(start, judge, seen, outcomes, what, size).seen:
@@ -168,7 +180,12 @@
 
 
 def _limits(
-    start: ifc.BalancerSettings, judge: Judge, seen: Seen, rows: Sequence[Effect], alarm: float, outcomes: float
+    start: ifc.BalancerSettings,
+    judge: CanaryAnalysis,
+    seen: Seen,
+    rows: Sequence[Effect],
+    alarm: float,
+    outcomes: float,
 ) -> list[str]:
     """What the wave can't promise, and what more time or share would do."""
     out = []
@@ -210,7 +227,7 @@
         f"marshals together",
         f"threshold {plan.threshold:.2f}, of failures {plan.failing_threshold:.2f} "
         f"(tallies {plan.tally_threshold:.2f}), over all methods a rise of "
-        f"{plan.rise:g}, a method's {RISE:g}, trust at {-plan.trust:.2f}",
+        f"{plan.rise:g}, a method's {FAILURE_RATE_INCREASE:g}, trust at {-plan.trust:.2f}",
         f"false alarm {plan.false_alarm:.4f} by the chain, at most {plan.false_alarm_bound:.4f} by Wald",
         "",
         f"{'stage':>5} {'share':>6} {'at least s':>10} {'at most s':>9} {'outcomes':>9}",
--- a/brookreach/verdict/record.py
+++ b/brookreach/verdict/record.py
@@ -13,7 +13,8 @@
 import msgspec
 
 from brookreach import interface as ifc
-from brookreach.decide import BEAT, Ring
+from brookreach.policy.sliding_window import SlidingWindowSum
+from brookreach.policy.timer_tokens import EVALUATION_TIMER
 from brookreach.verdict.notes import Note, Wave
 
 BUILDS, MOST_NOTES, BEFORE_NOTES = 8, 60_000, 4000
@@ -42,7 +43,7 @@
         self.now_at: dict[int, ifc.NodeEntry] = {}
         self.rpcs: dict[int, tuple[int, float | None]] = {}
         self.picks: dict[int, list[Out | None]] = {}
-        self.flow = Ring(1000.0, 10)
+        self.flow = SlidingWindowSum(1000.0, 10)
         self.build: int | None = None
 
     def hear(self, now: float, one: object) -> None:
@@ -61,7 +62,7 @@
                 self._listed(now, one)
             case ifc.OutcomeCounts():
                 self._note(Note(now, "T", tally=one))
-            case ifc.TimerFired() if one.token % 4 == BEAT:
+            case ifc.TimerFired() if one.token % 4 == EVALUATION_TIMER:
                 self._note(Note(now, "D"))
             case ifc.RolloutStatus():
                 if one.reply:
--- a/brookreach/verdict/replay.py
+++ b/brookreach/verdict/replay.py
@@ -12,8 +12,8 @@
 import msgspec
 
 from brookreach import interface as ifc
-from brookreach.charts import NEVER_RAN
-from brookreach.judge import Judge
+from brookreach.policy.canary_analysis import CanaryAnalysis
+from brookreach.policy.common import NEVER_EXECUTED
 from brookreach.verdict.notes import Note, Wave
 
 
@@ -55,7 +55,7 @@
     nodes: dict[int, Side]
 
 
-def _play(judge: Judge, wave: Wave, note: Note, entry: ifc.NodeEntry | None) -> None:
+def _play(judge: CanaryAnalysis, wave: Wave, note: Note, entry: ifc.NodeEntry | None) -> None:
     match note.what:
         case "L":
             judge.listed([wave.entries[index] for index in note.nodes])
@@ -89,7 +89,7 @@
     """Judge a record again, under its own stated rates or others. News stay as they came."""
     start = replace(wave.start, stated=stated) if stated else wave.start
     acts: list[ifc.Action] = []
-    judge = Judge(deque(), acts, start)
+    judge = CanaryAnalysis(deque(), acts, start)
     offered = next((note.now for note in wave.notes if note.news and note.news.build == wave.build), 0.0)
     found = Verdict(wave.build, wave.name, offered, [], "", None, 0.0, {}, {}, {}, {}, {})
     names = [method.name for method in start.methods]
@@ -97,7 +97,7 @@
         entry = wave.entries[note.nodes[0]] if note.what == "O" else None
         old = {key: chart.level for key, chart in judge.charts.items()}
         _play(judge, wave, note, entry)
-        if entry is not None and note.ending not in NEVER_RAN:
+        if entry is not None and note.ending not in NEVER_EXECUTED:
             _count(found, wave, note, entry, names[note.method], start)
         if judge.news is not None and judge.news.build == wave.build:
             for key, chart in judge.charts.items():
--- a/brookreach/xds/assign.py
+++ b/brookreach/xds/assign.py
@@ -19,8 +19,8 @@
 from collections.abc import Mapping, Sequence
 
 from brookreach import interface as ifc
-from brookreach.charts import on_trial, warmth
-from brookreach.decide import COLD_PART
+from brookreach.policy.common import is_candidate, slow_start_factor
+from brookreach.policy.tracked_node import SLOW_START_SHARE
 from brookreach.xds.records import (
     Assignment,
     BalancerView,
@@ -85,7 +85,7 @@
     """What a node can do beside others: size and warmth, less with doubt and slowness; 0: not to be used."""
     if view.entry.state != ifc.NodeState.READY or view.doubt >= 1.0:
         return 0.0
-    return view.entry.size * warmth(view.entry, now, guards) * (1.0 - view.doubt) / max(1.0, view.slow)
+    return view.entry.size * slow_start_factor(view.entry, now, guards) * (1.0 - view.doubt) / max(1.0, view.slow)
 
 
 def assign_cluster(
@@ -106,7 +106,7 @@
     used = [(view, weight) for view, weight in able if weight > 0.0]
     if not used:  # better a sick node than none: but never one that drains or is gone
         used = [
-            (view, view.entry.size * warmth(view.entry, now, guards))
+            (view, view.entry.size * slow_start_factor(view.entry, now, guards))
             for view, _ in able
             if view.entry.state == ifc.NodeState.READY
         ]
@@ -128,9 +128,9 @@
                 view.doubt >= 0.5,
             )
         )
-        warm = warmth(view.entry, now, guards)
+        warm = slow_start_factor(view.entry, now, guards)
         if warm < 1.0 and rate > 0.0 and asked > 0.0:
-            room = COLD_PART * guards.fall_multiple * warm * rate * view.entry.size
+            room = SLOW_START_SHARE * guards.fall_multiple * warm * rate * view.entry.size
             gets = asked * weight / total
             shed = max(shed, 1.0 - room / gets if gets > room else 0.0)
     return ClusterAssignment(name, tuple(endpoints), min(1.0, shed))
@@ -182,7 +182,7 @@
     """The assignment of an up-to-date proxy. `cost` is the mean cost of an RPC in the module's units."""
     builds: dict[int, list[NodeView]] = {}
     for node in view.nodes:
-        build = node.entry.build if on_trial(view.news, node.entry.build) else 0
+        build = node.entry.build if is_candidate(view.news, node.entry.build) else 0
         builds.setdefault(build, []).append(node)
     total = math.fsum(use.rpcs_per_s for use in proxies.values())
     least = 0.5 * total * start.exposure.window_ms / 1000.0  # what they took may halve within a window
--- a/brookreach/xds/view.py
+++ b/brookreach/xds/view.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 from brookreach import interface as ifc
-from brookreach.decide import Marshal
+from brookreach.policy.balancer import Balancer
 from brookreach.xds.records import BalancerView, NodeView
 
 
-def balancer_view(marshal: Marshal, now: float) -> BalancerView:
+def balancer_view(marshal: Balancer, now: float) -> BalancerView:
     """A shunned node has a doubt of 1; one with odds against it, a part of it."""
-    desk = marshal.desk
+    desk = marshal.request_router
     nodes = []
     for node in desk.nodes.values():
         doubt = 1.0 if now < node.shy_until else min(0.9, 0.9 * node.doubt / node.most_doubt)
