--- a/brookreach/cli/fleet.py
+++ b/brookreach/cli/fleet.py
@@ -53,7 +53,7 @@
     from brookreach.net.report import Report
 
     report = Report(keeper, LOG_LINES_PER_SECOND, writer(log, keeper))
-    sys.exit(run_replica(file, keeper, load_applications(), report.say))
+    sys.exit(run_replica(file, keeper, load_applications(), report.log))
 
 
 @fleet.command()
--- a/brookreach/cli/run.py
+++ b/brookreach/cli/run.py
@@ -45,8 +45,8 @@
     from brookreach.files import InvalidFileError
 
     try:
-        beside = partial(BalancerClient, path=fleet, restarts=ask_restart)
-        sys.exit(marshal.serve(partial(writer, log), record, beside))
+        make_client = partial(BalancerClient, path=fleet, restarts=ask_restart)
+        sys.exit(marshal.serve(partial(writer, log), record, make_client))
     except InvalidFileError as error:
         click.echo(f"brookreach: {error}", err=True)
         sys.exit(2)
--- a/brookreach/cli/structured.py
+++ b/brookreach/cli/structured.py
@@ -8,10 +8,10 @@
 
 import sys
 
-from brookreach.net.report import Writer
+from brookreach.net.report import LineWriter
 
 
-def structured(name: str) -> Writer:
+def structured(name: str) -> LineWriter:
     """One JSON object a line: `at`, `level`, `marshal`, `kind`, `event`; figures stay in the words."""
     import structlog
 
@@ -26,6 +26,6 @@
     return lambda kind, text: (logger.error if kind == "fault" else logger.info)(text, kind=kind)
 
 
-def writer(form: str, name: str) -> Writer | None:
+def writer(form: str, name: str) -> LineWriter | None:
     """What `--log` names: None for plain lines."""
     return structured(name) if form == "json" else None
--- a/brookreach/configuration.py
+++ b/brookreach/configuration.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from brookreach.net.stream import address
+from brookreach.net.stream import parse_address
 from brookreach.settings_object import SettingsObject
 
 
@@ -45,7 +45,7 @@
 def read_address(told: SettingsObject, key: str) -> tuple[str, int]:
     """Host and port that a key words as `host:port`. Raises SettingsError."""
     try:
-        return address(told.text(key))
+        return parse_address(told.text(key))
     except ValueError:
         raise told.invalid(key, "an address with a port") from None
 
--- a/brookreach/coordination/configuration.py
+++ b/brookreach/coordination/configuration.py
@@ -19,7 +19,7 @@
 from brookreach.coordination.protocol import messages
 from brookreach.coordination.timing import Timing
 from brookreach.files import InvalidFileError, convert_values, read_bounded, read_toml
-from brookreach.net.stream import address
+from brookreach.net.stream import parse_address
 
 MIN_KEY_BYTES = 32
 MAX_KEY_BYTES = 4096
@@ -93,7 +93,7 @@
 
     def addresses(self) -> dict[str, tuple[str, int]]:
         """Returns host and port of each replica by its name."""
-        return {replica.name: address(replica.listen) for replica in self.replicas}
+        return {replica.name: parse_address(replica.listen) for replica in self.replicas}
 
     def times(self) -> Timing:
         """Returns the table [timing] as replicas and clients use it."""
@@ -169,7 +169,7 @@
 def _unusable_addresses(configuration: ClusterConfiguration) -> Iterator[str]:
     for position, replica in enumerate(configuration.replicas):
         try:
-            host, _ = address(replica.listen)
+            host, _ = parse_address(replica.listen)
         except ValueError as error:
             yield f"keeper[{position}].listen: {error}"
             continue
--- a/brookreach/disruption/balancer_client.py
+++ b/brookreach/disruption/balancer_client.py
@@ -54,7 +54,7 @@
 
     name: str
 
-    def say(self, kind: str, text: str) -> None:
+    def log(self, kind: str, text: str) -> None:
         """Writes one event."""
         ...
 
@@ -73,7 +73,7 @@
     zone: int
 
 
-class DriverStart(Protocol):
+class DriverSettings(Protocol):
     """What the driver was started with."""
 
     place: Placement
@@ -94,16 +94,16 @@
 class Driver(Protocol):
     """The part of the driver that the overlay needs."""
 
-    start: DriverStart
+    settings: DriverSettings
     nodes: EndpointTable
-    told: EndpointListener
+    on_node_list: EndpointListener
 
 
 class BalancerParts(Protocol):
-    """The parts of a running balancer beside which the client runs; see `brookreach.__main__.Parts`."""
+    """The parts of a running balancer beside which the client runs; see `brookreach.net.runtime.BalancerRuntime`."""
 
     report: EventReport
-    told: Mapping[str, Any]
+    configuration: Mapping[str, Any]
     discovery: Discovery
     driver: Driver
 
@@ -131,7 +131,7 @@
         self.name = parts.report.name
         if not NAME_PATTERN.fullmatch(self.name):
             raise InvalidFileError([f"name {self.name!r}: in a group 1 to 64 of A-Z a-z 0-9 . _ - are allowed"])
-        self.zone = str(parts.told["settings"]["zones"][parts.driver.start.place.zone])
+        self.zone = str(parts.configuration["settings"]["zones"][parts.driver.settings.place.zone])
         self.overlay = _install_overlay(parts)
         self.connect()
 
@@ -153,11 +153,11 @@
             try:
                 await self.connection.run()
             except Exception:  # a defect must not end the balancer
-                self.report.say("fault", traceback.format_exc(limit=-2))
+                self.report.log("fault", traceback.format_exc(limit=-2))
             await anyio.sleep(RESTART_DELAY_S)
             self.connect()
 
-    def stops(self) -> None:
+    def begin_shutdown(self) -> None:
         """SIGTERM: draining while it still answers, and down as it ends; nothing waits for that."""
         self.status = TargetStatus.DRAINING
         if self.restarts:
@@ -165,7 +165,7 @@
             self._send(RequestRestart(name, self.name, RESTART_URGENCY, "told to end"))
         self._report()
 
-    async def ends(self) -> None:
+    async def finish_shutdown(self) -> None:
         """Ends the session, if that is done at once."""
         with anyio.move_on_after(SHUTDOWN_TIMEOUT_S):
             await self.connection.close(SESSION_END_TIMEOUT_S)
@@ -214,12 +214,12 @@
             self._log(f"{name} {shown}, agreed at place {event.index}, told in {elapsed_ms:.1f} ms")
 
     def _log(self, text: str) -> None:
-        self.report.say(EVENT, text)
+        self.report.log(EVENT, text)
 
 
 def _install_overlay(parts: BalancerParts) -> EndpointOverlay:
     """Puts an overlay, which begins with the driver's endpoints, between discovery and the driver."""
-    overlay = EndpointOverlay(_numbers_reader(parts.discovery), parts.driver.told)
+    overlay = EndpointOverlay(_numbers_reader(parts.discovery), parts.driver.on_node_list)
     overlay.version = parts.discovery.version
     for number, endpoint in parts.driver.nodes.endpoints.items():
         overlay.endpoints[number] = endpoint.listed
--- a/brookreach/net/barrier.py
+++ b/brookreach/net/barrier.py
@@ -15,7 +15,10 @@
 QUERIES_PER_BARRIER = 4  # queries in a fence
 BARRIER_COUNT = 2**QUERIES_PER_BARRIER  # fences that differ: the further queries of one connection
 # Two harmless queries whose replies can be told apart: by the tag of the reply's first message.
-HARMLESS_QUERIES = (b"".join(pgwire.query(b"")), b"".join(pgwire.query(b"SET application_name TO DEFAULT")))
+HARMLESS_QUERIES = (
+    b"".join(pgwire.query_message(b"")),
+    b"".join(pgwire.query_message(b"SET application_name TO DEFAULT")),
+)
 REPLY_TAGS: tuple[bytes, bytes] = pgwire.HARMLESS_REPLY_TAGS
 
 
@@ -40,7 +43,10 @@
         self.is_complete = False
 
     def on_message(self, tag: bytes, body: memoryview) -> None:
-        """Take the next message, until all are there. Raises BrokenStream for what is none of this fence's replies."""
+        """Take the next message, until all are there.
+
+        Raises ProtocolViolationError for what is none of this fence's replies.
+        """
         if tag in (b"N", b"S"):
             return
         if self.has_begun and tag == b"Z" and body == b"I":
--- a/brookreach/net/clients.py
+++ b/brookreach/net/clients.py
@@ -18,68 +18,70 @@
 from brookreach.net.drain import Drain
 from brookreach.net.limits import Limits
 from brookreach.net.listener import Listener, NoRoomError
-from brookreach.net.poller import Expiring, Poller
-from brookreach.net.refusals import Refusals
+from brookreach.net.poller import Expirable, Poller
+from brookreach.net.refusals import RefusedConnections
 from brookreach.net.report import Report
-from brookreach.net.taker import Taker
+from brookreach.net.rpc_receiver import RpcReceiver
 
 EVICTED = "evicted for a new connection"
 
 
-class StopPhase(IntEnum):
+class ShutdownPhase(IntEnum):
     """How far a stop has come."""
 
     NONE = 0
-    LAST_CALL = 1  # past it: new connections are refused, those between RPCs are left
-    FINAL = 2  # past the drain's deadline: no connection is waited for
+    REFUSING_NEW = 1  # past it: new connections are refused, those between RPCs are left
+    PAST_DEADLINE = 2  # past the drain's deadline: no connection is waited for
     CLOSING = 3  # who still waits to be accepted is refused, and the listener closed
 
 
 class Clients:
     """Who is connected. OSError where the address can't be listened on."""
 
-    def __init__(self, limits: Limits, report: Report, poller: Poller, taker: Taker, at: str, drain: Drain) -> None:
-        self.limits, self.report, self.poller, self.taker, self.at = limits, report, poller, taker, at
+    def __init__(
+        self, limits: Limits, report: Report, poller: Poller, receiver: RpcReceiver, at: str, drain: Drain
+    ) -> None:
+        self.limits, self.report, self.poller, self.receiver, self.at = limits, report, poller, receiver, at
         self.drain = drain
-        self.open: set[Client] = set()
+        self.connected: set[Client] = set()
         # Who makes way and who is closed, each since when, the oldest first: those that have asked nothing
         # yet, those between RPCs, those with half a message, those that don't take their answers.
         self.silent: OrderedDict[Client, float] = OrderedDict()
         self.idle: OrderedDict[Client, float] = OrderedDict()
-        self.half: OrderedDict[Client, float] = OrderedDict()
+        self.partial: OrderedDict[Client, float] = OrderedDict()
         self.stalled: OrderedDict[Client, float] = OrderedDict()
-        self.closes: Counter[str] = Counter()  # connections that have ended, by reason
-        self.pool = pgwire.Pool(limits.large)
+        self.close_counts: Counter[str] = Counter()  # connections that have ended, by reason
+        self.pool = pgwire.BufferPool(limits.large_message_bytes)
         self.resumable: list[Client] = []  # to be looked at again for RPCs that have come already
-        self.refusals = Refusals(limits, poller, self.pool, self.resume_accepting, taker.spare_links)
-        self.phase = StopPhase.NONE
+        self.refusals = RefusedConnections(limits, poller, self.pool, self.resume_accepting, receiver.available_links)
+        self.phase = ShutdownPhase.NONE
         self.is_paused = False  # accept is tried again when its alarm rings, or a connection has ended
         self.client_ended = anyio.Event()
-        self.listener: Listener | None = Listener(poller, at, limits.backlog, self.arrived)
+        self.listener: Listener | None = Listener(poller, at, limits.backlog, self.accept_waiting)
 
     @property
-    def stopping(self) -> bool:
+    def is_stopping(self) -> bool:
         """Whether new connections are refused."""
-        return self.phase != StopPhase.NONE
+        return self.phase != ShutdownPhase.NONE
 
     @property
-    def is_final(self) -> bool:
+    def is_past_deadline(self) -> bool:
         """Whether no connection is waited for any more."""
-        return self.phase >= StopPhase.FINAL
+        return self.phase >= ShutdownPhase.PAST_DEADLINE
 
-    def arrived(self) -> bool:
+    def accept_waiting(self) -> bool:
         """Accept what the kernel has taken for us: a connection that waits there may hold an RPC that nobody
         looks at. Whether more may wait there.
         """
-        for _ in range(self.limits.sockets):
+        for _ in range(self.limits.sockets_per_turn):
             if self._must_wait():
                 self._pause_accepting()
                 return False
             try:
-                sock = self.listener.accept(self.limits.sockets) if self.listener is not None else None
+                sock = self.listener.accept(self.limits.sockets_per_turn) if self.listener is not None else None
             except NoRoomError as error:
-                self.report.say("clients", f"{error}: new ones wait")
-                if error.is_ours:
+                self.report.log("clients", f"{error}: new ones wait")
+                if error.is_own_limit:
                     self._evict_one()
                 self._pause_accepting()
                 return False
@@ -90,60 +92,60 @@
 
     def _must_wait(self) -> bool:
         """Whether the next one would be refused, and those before it have not read yet that they were."""
-        has_room = not self.stopping and len(self.open) < self.limits.clients
-        return not has_room and self.phase != StopPhase.CLOSING and self.refusals.is_full()
+        has_room = not self.is_stopping and len(self.connected) < self.limits.max_clients
+        return not has_room and self.phase != ShutdownPhase.CLOSING and self.refusals.is_full()
 
     def _admit(self, sock: socket.socket) -> None:
         """Where all connections hold RPCs, or we stop, a new one is told so: its client can go elsewhere."""
-        if self.stopping:
-            self.refusals.refuse(sock, pgwire.NOT_READY, "shutting down")
-        elif len(self.open) < self.limits.clients or self._evict_one():
-            self.open.add(Client(sock, self))
+        if self.is_stopping:
+            self.refusals.refuse(sock, pgwire.NOT_READY_SQLSTATE, "shutting down")
+        elif len(self.connected) < self.limits.max_clients or self._evict_one():
+            self.connected.add(Client(sock, self))
         else:
-            self.report.say("clients", f"{len(self.open)} connections with RPCs: new ones are refused")
-            self.refusals.refuse(sock, pgwire.PUSHED_BACK, "too many connections")
+            self.report.log("clients", f"{len(self.connected)} connections with RPCs: new ones are refused")
+            self.refusals.refuse(sock, pgwire.PUSH_BACK_SQLSTATE, "too many connections")
 
     def _pause_accepting(self) -> None:
         """Not only when a connection ends: there may be none that could."""
         if self.listener is not None and not self.is_paused:
             self.is_paused = True
-            self.listener.listens(False)
-            self.taker.alarm(self.limits.accept_again_s * 1000.0, ResumeAccepting(self))
+            self.listener.set_accepting(False)
+            self.receiver.schedule_timeout(self.limits.accept_retry_s * 1000.0, ResumeAccepting(self))
 
     def resume_accepting(self) -> None:
         if self.is_paused and self.listener is not None:
             self.is_paused = False
-            self.listener.listens(True)
+            self.listener.set_accepting(True)
 
     def _evict_one(self) -> bool:
         """Close the connection that has been silent for longest or the one that has been idle for longest:
         between RPCs we may. Where few are silent, their first query is on its way. One whose next RPC lies
         unread is passed over; one that has half an RPC comes last."""
         rows = [self.silent, self.idle] if len(self.silent) > len(self.idle) else [self.idle, self.silent]
-        for row in [*rows, self.half]:
+        for row in [*rows, self.partial]:
             if row is self.silent and self.refusals.is_full():
                 continue  # those that are being told so must not be cut short
-            for client in list(islice(row, self.limits.messages)):
-                asks = client.slots or client.rest or row is self.idle and len(client.inbound)
-                if not asks and client.quiet():
+            for client in list(islice(row, self.limits.messages_per_turn)):
+                asks = client.answers or client.unsent or row is self.idle and len(client.inbound)
+                if not asks and client.is_quiet():
                     if row is self.silent:  # its first query may be on its way: that is answered
                         self.refusals.refuse(
-                            client.detach(), pgwire.PUSHED_BACK, "too many connections", client.started
+                            client.detach(), pgwire.PUSH_BACK_SQLSTATE, "too many connections", client.started
                         )
-                        self.left(client, EVICTED)
+                        self.remove(client, EVICTED)
                     else:
                         client.end(EVICTED)
                     return True
         return False
 
-    def busy(self, client: Client) -> None:
+    def mark_busy(self, client: Client) -> None:
         self.silent.pop(client, None)
         self.idle.pop(client, None)
 
-    def left(self, client: Client, why: str) -> None:
-        self.closes[why.partition(":")[0]] += 1
-        self.open.discard(client)
-        for row in (self.silent, self.idle, self.half, self.stalled):
+    def remove(self, client: Client, why: str) -> None:
+        self.close_counts[why.partition(":")[0]] += 1
+        self.connected.discard(client)
+        for row in (self.silent, self.idle, self.partial, self.stalled):
             row.pop(client, None)
         self.client_ended.set()
         self.resume_accepting()
@@ -152,55 +154,55 @@
         """Close what has been silent, half said or stalled for too long, and in a full house what rests."""
         now, limits = time.monotonic(), self.limits
         self.refusals.sweep()
-        for client in self.open:
-            if not client.reading and not len(client.inbound) and client.quiet():
+        for client in self.connected:
+            if not client.reading and not len(client.inbound) and client.is_quiet():
                 client.unread_since = now  # whatever lies unread later has come later
-        for client in older(self.stalled, now - limits.stalled_s):
+        for client in older(self.stalled, now - limits.stalled_timeout_s):
             client.end("takes nothing of its answer")
         # A first query comes right behind the startup: while we stop, it is not waited for longer.
-        first_s = limits.linger_s if self.stopping else limits.silent_s
-        for row, wait_s in ((self.silent, first_s), (self.half, limits.silent_s)):
+        first_s = limits.refuse_new_after_s if self.is_stopping else limits.silence_timeout_s
+        for row, wait_s in ((self.silent, first_s), (self.partial, limits.silence_timeout_s)):
             for client in older(row, now - wait_s):
-                client.read_up(limits.sockets)  # what came in this instant is not lost
-                # Slow is not silent; but no RPC has more time than drip_s.
+                client.read_available(limits.sockets_per_turn)  # what came in this instant is not lost
+                # Slow is not silent; but no RPC has more time than slow_message_timeout_s.
                 since = row.get(client, now)
-                drips = len(client.inbound) > 0 and since >= now - limits.drip_s
-                if client in row and max(since, client.heard if drips else since) < now - wait_s:
-                    client.give_up("silent, or half a message for too long")
-        for client in older(self.idle, now - min(limits.rest_s, limits.idle_s)):
-            full = len(self.open) - len(self.silent) > limits.clients // 2
-            if not full and self.idle[client] >= now - limits.idle_s:
+                drips = len(client.inbound) > 0 and since >= now - limits.slow_message_timeout_s
+                if client in row and max(since, client.heard_at if drips else since) < now - wait_s:
+                    client.close_after_answers("silent, or half a message for too long")
+        for client in older(self.idle, now - min(limits.crowded_idle_timeout_s, limits.idle_timeout_s)):
+            full = len(self.connected) - len(self.silent) > limits.max_clients // 2
+            if not full and self.idle[client] >= now - limits.idle_timeout_s:
                 return
-            client.read_up(limits.sockets)
+            client.read_available(limits.sockets_per_turn)
             if client in self.idle and not len(client.inbound):
                 client.end("idle")
 
-    def catch_up(self) -> bool:
+    def resume_reading(self) -> bool:
         """Take what came while its connection had enough under way; whether some have still more."""
         resumable, self.resumable = self.resumable, []
         for client in resumable:
             if not client.closed and not client.leaving:
                 client.reading = True
-                client.interest()
-                client.ready(0)
+                client.update_interest()
+                client.handle_events(0)
         return bool(self.resumable)
 
-    def last_call(self) -> None:
+    def refuse_new_connections(self) -> None:
         """New connections are refused from here on; what has come up to now is served, also where it lies unread."""
         self._accept_all()
-        self.phase = StopPhase.LAST_CALL
-        for client in list(self.open):
-            client.leave()
+        self.phase = ShutdownPhase.REFUSING_NEW
+        for client in list(self.connected):
+            client.close_if_idle()
 
-    def final_call(self) -> None:
+    def stop_waiting(self) -> None:
         """The drain's deadline has come, and with it every answer: no connection is waited for."""
-        self.phase = StopPhase.FINAL
-        for client in list(self.open):
-            client.leave()
+        self.phase = ShutdownPhase.PAST_DEADLINE
+        for client in list(self.connected):
+            client.close_if_idle()
 
     def close(self) -> None:
         """Refuse those that still wait to be accepted, and listen no more."""
-        self.phase = StopPhase.CLOSING
+        self.phase = ShutdownPhase.CLOSING
         self._accept_all()
         if self.listener is not None:
             self.listener.close()
@@ -209,11 +211,11 @@
     def _accept_all(self) -> None:
         """Accept until nobody waits; an error for want of room is tried again at once, so many times at the most."""
         for _ in range(self.limits.backlog):
-            if not self.arrived() and not self.is_paused:
+            if not self.accept_waiting() and not self.is_paused:
                 return
 
 
-class ResumeAccepting(Expiring):
+class ResumeAccepting(Expirable):
     """The alarm of a listener that had no room for one more connection."""
 
     def __init__(self, clients: Clients) -> None:
--- a/brookreach/net/clock.py
+++ b/brookreach/net/clock.py
@@ -14,8 +14,8 @@
     def __init__(self) -> None:
         self.offset_ms = (time.time() - time.monotonic()) * 1000.0
 
-    def at(self, monotonic: float) -> float:
+    def to_unix_ms(self, monotonic: float) -> float:
         return self.offset_ms + monotonic * 1000.0
 
-    def now(self) -> float:
-        return self.at(time.monotonic())
+    def now_ms(self) -> float:
+        return self.to_unix_ms(time.monotonic())
--- a/brookreach/net/discovery.py
+++ b/brookreach/net/discovery.py
@@ -23,7 +23,7 @@
 from brookreach.net.http import CONNECTION_ERRORS, HttpConnection, NotHttp
 from brookreach.net.limits import Limits
 from brookreach.net.report import Report
-from brookreach.net.stream import address
+from brookreach.net.stream import parse_address
 
 NODE_STATES = {"active": ifc.NodeState.READY, "leaving": ifc.NodeState.DRAINING, "left": ifc.NodeState.GONE}
 INSTANCES_PATH = "/registry/instances"
@@ -57,7 +57,7 @@
             "cell": int,
             "locality": {name: at for at, name in enumerate(zones)}.__getitem__,
             "flavor": {name: at for at, name in enumerate(kinds)}.__getitem__,
-            "host_port": address,
+            "host_port": parse_address,
         }
         self.node_numbers: dict[str, int] = {}  # of the ids that are listed
         self.last_number = 0  # numbers given out so far
@@ -69,7 +69,7 @@
         self.calls_scope: anyio.CancelScope | None = None  # all that is under way at the present address
         self.list_received = anyio.Event()  # a list that was asked for has come
         self.is_loss_reported = False  # since a call last served
-        self.backoff = Backoff(limits.refused_s, limits.refused_most_s, rng)  # before it is asked again
+        self.backoff = Backoff(limits.list_retry_min_s, limits.list_retry_max_s, rng)  # before it is asked again
 
     def apply_listing(self, listing: Mapping[str, Any], cached: bool = False) -> None:
         """One list or change of it, as discovery words it; all of it is taken or nothing.
@@ -160,12 +160,12 @@
         with anyio.CancelScope() as all_calls:
             try:
                 assert at is not None
-                with anyio.fail_after(self.limits.whole_s):
+                with anyio.fail_after(self.limits.full_list_timeout_s):
                     http = await HttpConnection.connect(at)
                 try:
                     # Of one service: what has changed since, which costs it less.
-                    if self.full_list_required or not (self.node_numbers and self.limits.one_service):
-                        await self._call(http, INSTANCES_PATH, self.limits.whole_s)
+                    if self.full_list_required or not (self.node_numbers and self.limits.has_central_discovery):
+                        await self._call(http, INSTANCES_PATH, self.limits.full_list_timeout_s)
                     followed = False
                     while not followed:
                         version, begun = self.version, anyio.current_time()
@@ -174,28 +174,28 @@
                             before.cancel()
                         self.backoff.reset()  # it serves: what breaks now is mended at once
                         self.is_loss_reported = False
-                        if self.version == version and anyio.current_time() - begun < self.limits.again_s:
-                            await anyio.sleep(self.limits.again_s)  # it does not wait: not asked in a spin
+                        if self.version == version and anyio.current_time() - begun < self.limits.retry_min_s:
+                            await anyio.sleep(self.limits.retry_min_s)  # it does not wait: not asked in a spin
                 finally:
                     await http.close()
             except (*CONNECTION_ERRORS, TimeoutError, *JSON_ERRORS) as error:
                 if not self.is_loss_reported:  # one line, however often it is asked again
                     what = f"{type(error).__name__} {error}"
-                    self.report.say("discovery", f"{at}: lost, asked again: {what}")
+                    self.report.log("discovery", f"{at}: lost, asked again: {what}")
                 self.is_loss_reported = True
             except Exception:  # a defect must not end the program: the next try may meet better bytes
-                self.report.say("fault", traceback.format_exc(limit=-2))
+                self.report.log("fault", traceback.format_exc(limit=-2))
 
     async def _watch(
         self, http: HttpConnection, at: tuple[str, int] | None, calls: TaskGroup, all_calls: anyio.CancelScope
     ) -> bool:
         """One watch; whether it was so late that the next one is open already, on a connection of its own."""
-        wait, late = self.limits.watch_s, LateWatch()
-        if self.limits.late_s < self.limits.answer_s:
+        wait, late = self.limits.watch_wait_s, LateWatch()
+        if self.limits.late_watch_s < self.limits.watch_grace_s:
             calls.start_soon(self._beside, at, calls, all_calls, late)
         try:
             target = f"{INSTANCES_PATH}?after={self.version}&wait_ms={round(wait * 1000.0)}"
-            await self._call(http, target, wait + self.limits.answer_s)
+            await self._call(http, target, wait + self.limits.watch_grace_s)
         finally:
             late.waited.cancel()
         return late.followed
@@ -207,7 +207,7 @@
         silent or waits in the queue of the service: left too soon it has used that for nothing, kept too long
         it is a drain not heard. Whichever answers, the other is the next watch: no call is made in vain."""
         with late.waited:
-            await anyio.sleep(self.limits.watch_s + self.limits.late_s)
+            await anyio.sleep(self.limits.watch_wait_s + self.limits.late_watch_s)
             late.followed = True
         if late.followed:
             await self._connection(at, calls, all_calls)
@@ -216,7 +216,7 @@
         before = http.last_body
         with anyio.fail_after(wait_s):
             status = await http.request("GET", target)
-            body = await http.read_body(self.limits.body)
+            body = await http.read_body(self.limits.max_body_bytes)
         if status != 200:
             raise NotHttp(f"status {status}")
         listing = json.loads(body)
@@ -225,6 +225,6 @@
             raise NotHttp("the same change twice")
         self.apply_listing(listing)
         self.list_received.set()
-        if time.monotonic() - self.behind_since > self.limits.behind_s:  # it is not late: it counts anew
+        if time.monotonic() - self.behind_since > self.limits.stale_list_period_s:  # it is not late: it counts anew
             self.highest_version, self.behind_since, self.full_list_required = 0, math.inf, True
             raise NotHttp(f"its versions stay below what was told: now {self.version}")
--- a/brookreach/net/drain.py
+++ b/brookreach/net/drain.py
@@ -16,23 +16,23 @@
 
     def __init__(self, limits: Limits) -> None:
         self.limits = limits
-        self.began = self.last_call = self.deadline = self.end = math.inf
+        self.began_at = self.refuse_new_at = self.deadline = self.exit_at = math.inf
 
     def begin(self) -> None:
         """The signal has come. A second one moves nothing."""
         if self.has_begun:
             return
         # The kill is counted from the signal: whatever is late here must not move the end with it.
-        self.began = time.monotonic()
-        self.deadline = self.began + self.limits.stop_s
-        self.last_call = min(self.began + self.limits.linger_s, self.deadline)
-        self.end = self.deadline + self.limits.past_s
+        self.began_at = time.monotonic()
+        self.deadline = self.began_at + self.limits.drain_timeout_s
+        self.refuse_new_at = min(self.began_at + self.limits.refuse_new_after_s, self.deadline)
+        self.exit_at = self.deadline + self.limits.exit_grace_s
 
     @property
     def has_begun(self) -> bool:
         """Whether the process was told to stop."""
-        return self.began < math.inf
+        return self.began_at < math.inf
 
-    def due(self, due: float) -> float:
+    def answer_due(self, due: float) -> float:
         """When an answer is due that its client waits for until `due`."""
         return min(due, self.deadline)
--- a/brookreach/net/handshake.py
+++ b/brookreach/net/handshake.py
@@ -11,15 +11,17 @@
 
 
 def startup_answer(body: memoryview) -> bytes | None:
-    """The answer to a startup message's body: WELCOME where the connection has started, None for a cancel request.
+    """The answer to a startup message's body: STARTUP_RESPONSE where the connection has started.
 
-    Raises BrokenStream for what the protocol does not know.
+    None for a cancel request, which gets no answer.
+
+    Raises ProtocolViolationError for what the protocol does not know.
     """
-    code = pgwire.INT.unpack_from(body)[0] if len(body) >= 4 else 0
+    code = pgwire.INT32.unpack_from(body)[0] if len(body) >= 4 else 0
     if code in (pgwire.SSL, pgwire.GSSENC):
         return NO_ENCRYPTION
     if code == pgwire.CANCEL:
         return None
     if code >> 16 == 3:
-        return pgwire.WELCOME
-    raise pgwire.BrokenStream(f"unknown startup code {code}")
+        return pgwire.STARTUP_RESPONSE
+    raise pgwire.ProtocolViolationError(f"unknown startup code {code}")
--- a/brookreach/net/in_flight.py
+++ b/brookreach/net/in_flight.py
@@ -12,11 +12,11 @@
 from brookreach import interface as ifc
 from brookreach.net import pgwire
 from brookreach.net.endpoint import Endpoint
-from brookreach.net.poller import Expiring
+from brookreach.net.poller import Expirable
 from brookreach.net.statement import Statement
 
 Outcome = ifc.Outcome
-PROBE_QUERY = pgwire.query(b"SELECT 1")
+PROBE_QUERY = pgwire.query_message(b"SELECT 1")
 
 
 class PickResult:
@@ -38,11 +38,11 @@
 class DriverCallbacks(Protocol):
     """Whom outcomes are told to: the driver."""
 
-    def put(self, event: ifc.Event | PickResult) -> None: ...
+    def enqueue(self, event: ifc.Event | PickResult) -> None: ...
 
-    def wanted(self, rpc: int) -> bool: ...
+    def is_open(self, rpc: int) -> bool: ...
 
-    def alarm(self, delay_ms: float, what: Expiring) -> None: ...
+    def schedule_timeout(self, delay_ms: float, what: Expirable) -> None: ...
 
 
 class QueryTransport(Protocol):
@@ -57,7 +57,7 @@
     def discard(self) -> None: ...
 
 
-class InFlightQuery(Expiring):
+class InFlightQuery(Expirable):
     """A pick that has no outcome yet, or a probe (`rpc_id` 0). Its last byte is written within `write_within_ms`.
 
     `picks_in_flight` holds the picks in flight by RPC and number; it leaves this one as it ends.
@@ -89,7 +89,7 @@
         """The query as it is written now, with the wait that is left."""
         if self.statement is None:
             return list(PROBE_QUERY)
-        return self.statement.passed_on((self.deadline - time.monotonic()) * 1000.0)
+        return self.statement.encode_query((self.deadline - time.monotonic()) * 1000.0)
 
     def is_obsolete(self) -> bool:
         """Whether what made this pick right when it was decided has gone: listing, cap, window or client."""
@@ -100,7 +100,7 @@
         )
 
     def _is_wanted(self) -> bool:
-        return self.statement is None or self.driver.wanted(self.rpc_id)
+        return self.statement is None or self.driver.is_open(self.rpc_id)
 
     def expire(self) -> None:
         """Its time is over."""
@@ -132,13 +132,13 @@
         took = (time.monotonic() - self.started_at) * 1000.0
         statement, self.statement = self.statement, None  # its alarm keeps this for long
         if statement is None:
-            self.driver.put(ifc.ProbeEnded(self.node, outcome, took, {}))
+            self.driver.enqueue(ifc.ProbeEnded(self.node, outcome, took, {}))
         else:
             self.picks_in_flight.pop((self.rpc_id, self.pick_index), None)
-            self.driver.put(PickResult(self.rpc_id, self.pick_index, self.node, outcome, took, answer))
+            self.driver.enqueue(PickResult(self.rpc_id, self.pick_index, self.node, outcome, took, answer))
 
 
-class WriteDeadline(Expiring):
+class WriteDeadline(Expirable):
     """The alarm of when a query's time for being written is over."""
 
     def __init__(self, flight: InFlightQuery) -> None:
--- a/brookreach/net/limits.py
+++ b/brookreach/net/limits.py
@@ -24,57 +24,63 @@
 @dataclass(frozen=True, slots=True)
 class Limits:
     # From the configuration and the settings.
-    clients: int  # client connections at a time; past it those that hold no RPC make way for new ones
-    links: int  # connections to nodes at a time, idle ones among them
-    large: int  # bytes of what does not fit into first buffers, on client connections and on links each
-    dial_s: float  # a connection to a node is up within this or never
-    idle_s: float  # an idle one is closed by us before the other side may
-    reply_s: float  # a vote's answer
-    drip_s: float  # a message that comes in pieces is waited for so long
-    stop_s: float  # after a stop is asked for, all that is open or comes later is answered within this
-    one_service: bool  # the list is asked of one service for all marshals, not of an agent beside this one
-    watch_s: float  # a watch of the list waits so long for something newer
-    late_s: float  # past its wait, the next watch is opened beside it, if sooner than it is given up
-    answer_s: float  # past its wait, a silent watch of the list is given up
-    whole_s: float  # a silent call for the whole list
-    first_s: float  # at a start, how long the agent's list is waited for before RPCs are taken
-    refused_s: float  # the first pause after a call for the list that failed; it doubles
-    refused_most_s: float
+    max_clients: int  # client connections at a time; past it those that hold no RPC make way for new ones
+    max_links: int  # connections to nodes at a time, idle ones among them
+    large_message_bytes: int  # bytes of what does not fit into first buffers, on client connections and on links each
+    connect_timeout_s: float  # a connection to a node is up within this or never
+    idle_timeout_s: float  # an idle one is closed by us before the other side may
+    vote_timeout_s: float  # a vote's answer
+    slow_message_timeout_s: float  # a message that comes in pieces is waited for so long
+    drain_timeout_s: float  # after a stop is asked for, all that is open or comes later is answered within this
+    has_central_discovery: bool  # the list is asked of one service for all marshals, not of an agent beside this one
+    watch_wait_s: float  # a watch of the list waits so long for something newer
+    late_watch_s: float  # past its wait, the next watch is opened beside it, if sooner than it is given up
+    watch_grace_s: float  # past its wait, a silent watch of the list is given up
+    full_list_timeout_s: float  # a silent call for the whole list
+    initial_list_wait_s: float  # at a start, how long the agent's list is waited for before RPCs are taken
+    list_retry_min_s: float  # the first pause after a call for the list that failed; it doubles
+    list_retry_max_s: float
     # Of the protocols: values hold 64 KiB, twice that as text, and a head around them.
-    message: int = 192 * KIB
-    head: int = 4 * KIB  # startup messages
-    comment: int = 512
-    body: int = 4096 * KIB  # a discovery or platform answer
-    line: int = 64 * KIB  # one object of the feed
+    max_message_bytes: int = 192 * KIB
+    max_startup_bytes: int = 4 * KIB  # startup messages
+    max_comment_bytes: int = 512
+    max_body_bytes: int = 4096 * KIB  # a discovery or platform answer
+    max_feed_line_bytes: int = 64 * KIB  # one object of the feed
     backlog: int = 512  # connections that the kernel takes for us ahead: a crowd comes at once
-    messages: int = 8  # of one client connection handled in one turn, and RPCs of it that may be under way always
-    pipelined: int = 32  # RPCs of one client connection under way; those written ahead of that lie unread
-    written_ahead: int = 8 * 192 * KIB  # past `messages`, bytes that its RPCs under way and waiting answers may hold
-    faults: int = 8  # statements that can't be taken, until their connection is closed
-    silent_s: float = 2.0  # a connection that has asked nothing, or half a message, is closed after this
-    rest_s: float = 2.0  # one idle for so long is closed while over half of the connections are taken
-    stalled_s: float = 5.0  # a client that takes nothing of its answer for so long has gone
-    refusals: int = 8  # connections that were told that there is no room and have not closed yet
-    refusal_s: float = 0.25  # so long they have for it
-    single_use_s: float = 10.0  # connections to a node that was seen to answer twice or out of order are used once
-    accept_again_s: float = 0.02  # after an error for want of room, until accept is tried again
+    messages_per_turn: int = (
+        8  # of one client connection handled in one turn, and RPCs of it that may be under way always
+    )
+    max_pipelined: int = 32  # RPCs of one client connection under way; those written ahead of that lie unread
+    max_pipelined_bytes: int = (
+        8 * 192 * KIB
+    )  # past `messages_per_turn`, bytes that its RPCs under way and waiting answers may hold
+    max_invalid_statements: int = 8  # statements that can't be taken, until their connection is closed
+    silence_timeout_s: float = 2.0  # a connection that has asked nothing, or half a message, is closed after this
+    crowded_idle_timeout_s: float = 2.0  # one idle for so long is closed while over half of the connections are taken
+    stalled_timeout_s: float = 5.0  # a client that takes nothing of its answer for so long has gone
+    min_refusals: int = 8  # connections that were told that there is no room and have not closed yet
+    refusal_timeout_s: float = 0.25  # so long they have for it
+    single_use_period_s: float = (
+        10.0  # connections to a node that was seen to answer twice or out of order are used once
+    )
+    accept_retry_s: float = 0.02  # after an error for want of room, until accept is tried again
     # Stopping: connections go on coming for a moment after the signal.
-    linger_s: float = 0.5
-    past_s: float = 0.15  # past stop_s, until the process ends: what comes then is refused at once
+    refuse_new_after_s: float = 0.5
+    exit_grace_s: float = 0.15  # past drain_timeout_s, until the process ends: what comes then is refused at once
     # Discovery and the platform.
-    behind_s: float = 10.0  # lists older than what was told take no drain back for so long, then they do
-    again_s: float = 0.1  # between tries of the feed after a failure
-    again_most_s: float = 1.0
-    sign_s: float = 3.5  # a feed without a sign of life for so long is opened anew
+    stale_list_period_s: float = 10.0  # lists older than what was told take no drain back for so long, then they do
+    retry_min_s: float = 0.1  # between tries of the feed after a failure
+    retry_max_s: float = 1.0
+    feed_silence_timeout_s: float = 3.5  # a feed without a sign of life for so long is opened anew
     # Logging.
-    lines: int = 20  # a second and kind of line
+    log_lines_per_s: int = 20  # a second and kind of line
     # Turns: sockets looked at before the module has its own, and its events before the sockets have theirs.
     # An RPC brings three events. Long turns keep the news of drains waiting.
-    sockets: int = 64
-    events: int = 256
-    turns: int = 2  # of both, before other tasks have theirs
-    garbage: int = 20_000  # objects made between collections: RPCs leave no cycles behind
-    sweep_s: float = 0.25  # between looks at what has been idle or silent for long
+    sockets_per_turn: int = 64
+    events_per_turn: int = 256
+    turns_before_yield: int = 2  # of both, before other tasks have theirs
+    gc_threshold: int = 20_000  # objects made between collections: RPCs leave no cycles behind
+    sweep_interval_s: float = 0.25  # between looks at what has been idle or silent for long
 
 
 def limits_from(limits: Mapping[str, Any], told: Mapping[str, Any]) -> Limits:
@@ -100,20 +106,20 @@
     service = settings.choice("registryMode", REGISTRY_MODES)
     within = settings.object("guarantees").ms_from_us("askWithinUs") / 1000.0
     return Limits(
-        one_service=service,
-        watch_s=min(within, 60.0) if service else 2.0,  # it waits 60 s at most
-        late_s=0.5 if service else math.inf,
-        answer_s=3.0 if service else 1.5,
-        whole_s=3.0 if service else 0.15,
-        first_s=0.0 if service else 0.5,
-        refused_s=min(0.1 * settings.count("balancers"), 0.5 * within) if service else 0.04,
-        refused_most_s=2.0 * within if service else 0.04,
-        clients=room * 11 // 20,
-        links=room * 9 // 20,
-        large=memory // 16,
-        dial_s=allowed.ms_from_us("dialTimeoutUs") / 1000.0,
-        idle_s=0.8 * allowed.ms_from_us("keepaliveUs") / 1000.0,
-        reply_s=settings.object("familyInfo").ms_from_us("answerWaitUs") / 1000.0,
-        drip_s=max(3.0, longest) + 0.5,
-        stop_s=min(KILL_LIMIT_S, longest) + KILL_MARGIN_S - STOP_RESERVE_S,
+        has_central_discovery=service,
+        watch_wait_s=min(within, 60.0) if service else 2.0,  # it waits 60 s at most
+        late_watch_s=0.5 if service else math.inf,
+        watch_grace_s=3.0 if service else 1.5,
+        full_list_timeout_s=3.0 if service else 0.15,
+        initial_list_wait_s=0.0 if service else 0.5,
+        list_retry_min_s=min(0.1 * settings.count("balancers"), 0.5 * within) if service else 0.04,
+        list_retry_max_s=2.0 * within if service else 0.04,
+        max_clients=room * 11 // 20,
+        max_links=room * 9 // 20,
+        large_message_bytes=memory // 16,
+        connect_timeout_s=allowed.ms_from_us("dialTimeoutUs") / 1000.0,
+        idle_timeout_s=0.8 * allowed.ms_from_us("keepaliveUs") / 1000.0,
+        vote_timeout_s=settings.object("familyInfo").ms_from_us("answerWaitUs") / 1000.0,
+        slow_message_timeout_s=max(3.0, longest) + 0.5,
+        drain_timeout_s=min(KILL_LIMIT_S, longest) + KILL_MARGIN_S - STOP_RESERVE_S,
     )
--- a/brookreach/net/listener.py
+++ b/brookreach/net/listener.py
@@ -9,8 +9,8 @@
 import socket
 from collections.abc import Callable
 
-from brookreach.net.poller import IN, Poller, Watched
-from brookreach.net.stream import address
+from brookreach.net.poller import IN, PolledSocket, Poller
+from brookreach.net.stream import parse_address
 
 # The machine or the process has no room for one more; those that wait go on waiting.
 EXHAUSTED = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
@@ -19,36 +19,39 @@
 class NoRoomError(Exception):
     """No descriptor or no memory for one more connection; the next ones wait in the kernel.
 
-    `is_ours` tells that this process has used up its own descriptors.
+    `is_own_limit` tells that this process has used up its own descriptors.
     """
 
     def __init__(self, error: OSError) -> None:
         super().__init__(str(error))
-        self.is_ours = error.errno == errno.EMFILE
+        self.is_own_limit = error.errno == errno.EMFILE
 
 
-class Listener(Watched):
-    """A listening socket; a restart takes the same address at once. Handler: `arrived`. OSError where it can't."""
+class Listener(PolledSocket):
+    """A listening socket; a restart takes the same address at once. Handler: `on_connection`.
 
-    def __init__(self, poller: Poller, text: str, backlog: int, arrived: Callable[[], object]) -> None:
+    OSError where the address can't be listened on.
+    """
+
+    def __init__(self, poller: Poller, text: str, backlog: int, on_connection: Callable[[], object]) -> None:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            sock.bind(address(text))
+            sock.bind(parse_address(text))
             sock.listen(backlog)
         except BaseException:
             sock.close()
             raise
         super().__init__(poller, sock)
-        self.arrived = arrived
-        self.listens(True)
+        self.on_connection = on_connection
+        self.set_accepting(True)
 
-    def listens(self, on: bool) -> None:
+    def set_accepting(self, on: bool) -> None:
         """Whether connections that wait are told of."""
-        self.poller.watch(self, IN if on else 0)
+        self.poller.register(self, IN if on else 0)
 
-    def ready(self, mask: int) -> None:
-        self.arrived()
+    def handle_events(self, mask: int) -> None:
+        self.on_connection()
 
     def accept(self, tries: int) -> socket.socket | None:
         """The next connection, None where nobody waits. Raises NoRoomError.
--- a/brookreach/net/node_connection.py
+++ b/brookreach/net/node_connection.py
@@ -17,13 +17,13 @@
 from brookreach.net.limits import Limits
 from brookreach.net.poller import IN, Poller
 from brookreach.net.report import Report
-from brookreach.net.result import Result
+from brookreach.net.result import QueryResult
 from brookreach.net.stream import Stream
 
 Outcome = ifc.Outcome
-STARTUP_MESSAGE = pgwire.hello("portal", "crm")
-PICK_OUTCOMES = {b"": Outcome.OK, pgwire.PUSHED_BACK: Outcome.FULL}
-PROBE_OUTCOMES = PICK_OUTCOMES | {pgwire.NOT_READY: Outcome.FULL}
+STARTUP_MESSAGE = pgwire.startup_message("portal", "crm")
+PICK_OUTCOMES = {b"": Outcome.OK, pgwire.PUSH_BACK_SQLSTATE: Outcome.FULL}
+PROBE_OUTCOMES = PICK_OUTCOMES | {pgwire.NOT_READY_SQLSTATE: Outcome.FULL}
 CONNECTING, STARTING_UP, IDLE, AWAITING_ANSWER, AWAITING_READY = 0, 1, 2, 3, 4  # what a connection is at
 
 
@@ -32,7 +32,7 @@
 
     def __init__(self, limits: Limits, report: Report, poller: Poller) -> None:
         self.limits, self.report, self.poller = limits, report, poller
-        self.buffer_pool = pgwire.Pool(limits.large)
+        self.buffer_pool = pgwire.BufferPool(limits.large_message_bytes)
         self.awaiting_ready: dict[NodeConnection, float] = {}  # answered, but not ready for the next query; since when
         self.connection_count = 0
         self.second_answers = 0  # that nodes were seen to give
@@ -45,12 +45,15 @@
         self, pool_state: ConnectionPoolState, endpoint: Endpoint, sock: socket.socket, flight: InFlightQuery
     ) -> None:
         super().__init__(
-            pool_state.poller, sock, pgwire.Inbound(pool_state.limits.message, pool_state.buffer_pool), dialing=True
+            pool_state.poller,
+            sock,
+            pgwire.MessageBuffer(pool_state.limits.max_message_bytes, pool_state.buffer_pool),
+            connecting=True,
         )
         self.pool_state, self.endpoint = pool_state, endpoint
         self.flight: InFlightQuery | None = flight
         self.state, self.connection_generation, self.idle_since = CONNECTING, endpoint.connection_generation, 0.0
-        self.result = Result()
+        self.result = QueryResult()
         self.query_count = 0  # queries written to it
         self.barrier_replies: BarrierReplies | None = None  # to the fence behind its query, if that is not its first
 
@@ -59,7 +62,7 @@
         if self.state < AWAITING_ANSWER:
             return False
         barrier_size = len(self.barrier_replies.barrier.queries) if self.barrier_replies is not None else 0
-        return not self.rest or sum([len(one) for one in self.rest]) <= barrier_size
+        return not self.unsent or sum([len(one) for one in self.unsent]) <= barrier_size
 
     def is_partly_written(self) -> bool:
         """Whether the kernel has taken only a part of its query."""
@@ -67,18 +70,18 @@
 
     def read_pending(self) -> None:
         """Look at what has come since the last turn."""
-        self.ready(IN)
+        self.handle_events(IN)
 
-    def opened(self) -> None:
+    def on_connected(self) -> None:
         self.state = STARTING_UP
         self.send([STARTUP_MESSAGE])
 
-    def came(self) -> None:
+    def on_data(self) -> None:
         try:
             while not self.closed and len(self.inbound):
                 if self.state == IDLE:  # be it only the first byte: the rest would be read as the next pick's answer
                     self._fail_unasked()
-                message = self.inbound.message()
+                message = self.inbound.next_message()
                 if message is None:
                     return
                 if self.state == STARTING_UP:
@@ -94,20 +97,20 @@
             raise
 
     def _fail_unasked(self) -> None:
-        """Raises SecondAnswerError for an answer that nothing asked for; BrokenStream for what else a node may tell,
-        such as a notice or its end."""
+        """Raises SecondAnswerError for an answer that nothing asked for; ProtocolViolationError for what else a node
+        may tell, such as a notice or its end."""
         tag = bytes(self.inbound.data[self.inbound.head : self.inbound.head + 1])
-        message = self.inbound.message() if tag == b"E" else None
+        message = self.inbound.next_message() if tag == b"E" else None
         is_error = message is not None and not pgwire.ends_connection(message[1])
         if is_error or tag in (b"T", b"D", b"C", b"I", b"Z"):
             raise pgwire.SecondAnswerError("a second answer that nothing asked for")
-        raise pgwire.BrokenStream("bytes that nothing asked for")
+        raise pgwire.ProtocolViolationError("bytes that nothing asked for")
 
     def _require_single_use(self, why: str) -> None:
         """Nothing proves whose the answers of this node are: for a while each connection to it is used once."""
-        endpoint, now, wait_s = self.endpoint, time.monotonic(), self.pool_state.limits.single_use_s
+        endpoint, now, wait_s = self.endpoint, time.monotonic(), self.pool_state.limits.single_use_period_s
         if endpoint.single_use_until <= now:
-            self.pool_state.report.say(
+            self.pool_state.report.log(
                 "node", f"{endpoint.listed.address}: {why}: its connections are used once for {wait_s:g} s"
             )
         endpoint.single_use_until = now + wait_s
@@ -125,16 +128,16 @@
             else:
                 self.send_query(flight)
         elif tag == b"E":
-            full = pgwire.error_state(body) == pgwire.PUSHED_BACK
+            full = pgwire.error_sqlstate(body) == pgwire.PUSH_BACK_SQLSTATE
             self._fail(Outcome.FULL if full else Outcome.NO_CONNECT)
-        elif tag not in (b"R", b"S", b"K", b"N") or (tag == b"R" and body != pgwire.INT.pack(0)):
-            raise pgwire.BrokenStream(f"message {tag!r} in the startup")
+        elif tag not in (b"R", b"S", b"K", b"N") or (tag == b"R" and body != pgwire.INT32.pack(0)):
+            raise pgwire.ProtocolViolationError(f"message {tag!r} in the startup")
 
     def send_query(self, flight: InFlightQuery) -> None:
         """Write the query, once; behind a further one its fence."""
         self.flight, flight.transport = flight, self
         self.state = AWAITING_ANSWER
-        self.result = Result(flight.statement is not None and flight.statement.write)
+        self.result = QueryResult(flight.statement is not None and flight.statement.is_write)
         query = flight.encode_query()
         if self.query_count:
             self.barrier_replies = BarrierReplies(BARRIERS[self.query_count - 1])
@@ -148,15 +151,15 @@
     def _reply(self, tag: bytes, body: memoryview) -> None:
         """One message of the answer or of its fence's replies. A first answer counts once it is whole, whatever comes
         behind it; a further one is proven to be the query's own by the fence."""
-        if not self.result.ready:
-            self.result.message(tag, body)
-            if self.result.verdict is not None and self not in self.pool_state.awaiting_ready:
+        if not self.result.is_ready:
+            self.result.add_message(tag, body)
+            if self.result.sqlstate is not None and self not in self.pool_state.awaiting_ready:
                 self.pool_state.awaiting_ready[self] = time.monotonic()
                 if self.barrier_replies is None:
                     self._deliver()
         elif self.barrier_replies is not None:
             self.barrier_replies.on_message(tag, body)
-        if self.result.ready and (self.barrier_replies is None or self.barrier_replies.is_complete):
+        if self.result.is_ready and (self.barrier_replies is None or self.barrier_replies.is_complete):
             self._deliver()
             self.release()
 
@@ -164,7 +167,7 @@
         flight, self.flight, self.state = self.flight, None, AWAITING_READY
         if flight is not None:
             table = PICK_OUTCOMES if flight.statement is not None else PROBE_OUTCOMES
-            flight.finish(table.get(self.result.verdict or b"", Outcome.ERROR), self.result.parts)
+            flight.finish(table.get(self.result.sqlstate or b"", Outcome.ERROR), self.result.messages)
 
     def expire_awaiting_ready(self) -> None:
         """It is not ready in time: what its fence should have proven is not."""
@@ -175,15 +178,15 @@
     def expire(self) -> None:
         """Never came up."""
         if not self.closed and self.state in (CONNECTING, STARTING_UP):
-            self.ready(IN)  # as above
+            self.handle_events(IN)  # as above
         if not self.closed and self.state in (CONNECTING, STARTING_UP):
             self._fail(Outcome.NO_CONNECT)
 
-    def broke(self, why: str) -> None:
+    def on_closed(self, why: str) -> None:
         written = self.is_written()
         if why.startswith("not the protocol"):
-            self.pool_state.report.say("node", f"{self.endpoint.listed.address}: {why}")
-        elif self.flight is not None and self.barrier_replies is not None and self.result.verdict is not None:
+            self.pool_state.report.log("node", f"{self.endpoint.listed.address}: {why}")
+        elif self.flight is not None and self.barrier_replies is not None and self.result.sqlstate is not None:
             self._require_single_use("ends its connections behind an answer")
         self._fail(Outcome.RESET if written else Outcome.NO_CONNECT)
 
--- a/brookreach/net/nodes.py
+++ b/brookreach/net/nodes.py
@@ -38,7 +38,7 @@
         return self.pool_state.awaiting_ready
 
     @property
-    def buffer_pool(self) -> pgwire.Pool:
+    def buffer_pool(self) -> pgwire.BufferPool:
         """The memory for what is large on connections to nodes."""
         return self.pool_state.buffer_pool
 
@@ -83,7 +83,7 @@
     def start_pick(self, pick: ifc.Pick, nth: int, statement: Statement) -> None:
         endpoint = self.endpoints.get(pick.node)
         if endpoint is None:
-            self.driver.put(PickResult(pick.rpc_id, nth, pick.node, Outcome.MOOT, 0.0, []))
+            self.driver.enqueue(PickResult(pick.rpc_id, nth, pick.node, Outcome.MOOT, 0.0, []))
             return
         flight = InFlightQuery(
             self.driver,
@@ -96,9 +96,9 @@
             statement,
         )
         self.picks_in_flight[pick.rpc_id, nth] = flight
-        self.driver.alarm(pick.timeout_ms, flight)
+        self.driver.schedule_timeout(pick.timeout_ms, flight)
         if pick.write_within_ms < pick.timeout_ms:
-            self.driver.alarm(pick.write_within_ms, WriteDeadline(flight))
+            self.driver.schedule_timeout(pick.write_within_ms, WriteDeadline(flight))
         self._start(flight, pick.min_idle_ms)
 
     def cancel(self, rpc: int, nth: int) -> None:
@@ -115,9 +115,9 @@
     def start_probe(self, node: int) -> None:
         endpoint = self.endpoints.get(node)
         if endpoint is not None:
-            wait_ms = self.limits.dial_s * 1000.0
+            wait_ms = self.limits.connect_timeout_s * 1000.0
             flight = InFlightQuery(self.driver, self.picks_in_flight, endpoint, 0, 0, wait_ms, wait_ms, None)
-            self.driver.alarm(wait_ms, flight)
+            self.driver.schedule_timeout(wait_ms, flight)
             self._start(flight, wait_ms)
 
     def close_idle(self, node: int) -> None:
@@ -133,7 +133,7 @@
         for link in reversed(list(endpoint.idle_connections)):
             if link.idle_since <= silent_since:
                 endpoint.idle_connections.remove(link)
-                if link.quiet():
+                if link.is_quiet():
                     return link
                 link.read_pending()  # notes what came, be it a second answer or the end
                 link.discard()
@@ -146,14 +146,14 @@
         if link is not None:
             link.send_query(flight)
             return
-        if self.connection_count >= self.limits.links and not self._close_longest_idle():
-            self.report.say("nodes", f"all {self.limits.links} connections are taken: picks are not sent")
+        if self.connection_count >= self.limits.max_links and not self._close_longest_idle():
+            self.report.log("nodes", f"all {self.limits.max_links} connections are taken: picks are not sent")
             flight.finish(Outcome.MOOT, [])
             return
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         except OSError as error:  # out of descriptors or buffers
-            self.report.say("nodes", f"no socket: {error}")
+            self.report.log("nodes", f"no socket: {error}")
             flight.finish(Outcome.MOOT, [])
             return
         self.pool_state.connection_count += 1
@@ -162,7 +162,7 @@
         try:
             sock.connect(endpoint.listed.address)
         except BlockingIOError:
-            self.driver.alarm(self.limits.dial_s * 1000.0, link)
+            self.driver.schedule_timeout(self.limits.connect_timeout_s * 1000.0, link)
         except OSError:
             link.expire()
 
@@ -176,8 +176,8 @@
     def sweep(self) -> None:
         """Close what has been idle for long, before the other side does, and what does not get ready."""
         now = time.monotonic()
-        old = now - self.limits.idle_s
-        for link in [one for one, since in self.awaiting_ready.items() if since < now - self.limits.dial_s]:
+        old = now - self.limits.idle_timeout_s
+        for link in [one for one, since in self.awaiting_ready.items() if since < now - self.limits.connect_timeout_s]:
             link.expire_awaiting_ready()
         for endpoint in self.endpoints.values():
             while endpoint.idle_connections and endpoint.idle_connections[0].idle_since < old:
--- a/brookreach/net/platform.py
+++ b/brookreach/net/platform.py
@@ -57,7 +57,7 @@
         self.limits, self.report, self.stages, self.address, self.on_event = limits, report, stages, at, on_event
         self.methods = {name: number for number, name in enumerate(methods)}
         self.feed_scope: anyio.CancelScope | None = None  # the feed at the present address
-        self.backoff = Backoff(limits.again_s, limits.again_most_s, rng)  # before it is opened again
+        self.backoff = Backoff(limits.retry_min_s, limits.retry_max_s, rng)  # before it is opened again
         self.recent_samples: deque[bytes] = deque(maxlen=REMEMBERED_SAMPLES)  # the last lines of this feed
 
     def set_address(self, at: tuple[str, int]) -> None:
@@ -74,21 +74,21 @@
         said = {"version": vote.build, "step": vote.stage, "vote": VERDICTS[vote.verdict]}
         ending, http = ifc.Outcome.NO_CONNECT, None
         news = None
-        with anyio.move_on_after(self.limits.reply_s):
+        with anyio.move_on_after(self.limits.vote_timeout_s):
             try:
                 http = await HttpConnection.connect(self.address)
                 status = await http.request("POST", "/api/ballots", json.dumps(said).encode())
-                body = await http.read_body(self.limits.body)
+                body = await http.read_body(self.limits.max_body_bytes)
                 if status == 200:
                     news = rollout_status_from(json.loads(body), self.stages, reply=True)
                 else:
                     ending = STATUSES.get(status, ifc.Outcome.TIMEOUT)
                     if status not in (429, 409):
-                        self.report.say("platform", f"vote answered {status} {body[:100]!r}")
+                        self.report.log("platform", f"vote answered {status} {body[:100]!r}")
             except (*CONNECTION_ERRORS, *JSON_ERRORS) as error:
-                self.report.say("platform", f"{self.address}: vote without answer: {type(error).__name__} {error}")
+                self.report.log("platform", f"{self.address}: vote without answer: {type(error).__name__} {error}")
             except Exception:  # a defect must not end the program
-                self.report.say("fault", traceback.format_exc(limit=-2))
+                self.report.log("fault", traceback.format_exc(limit=-2))
         if http is not None:
             await http.close()
         if news is None:
@@ -105,7 +105,7 @@
                 await anyio.sleep(self.backoff.next_delay_s())
                 http = None
                 try:
-                    with anyio.fail_after(self.limits.sign_s):
+                    with anyio.fail_after(self.limits.feed_silence_timeout_s):
                         http = await HttpConnection.connect(at)
                         status = await http.request("GET", "/api/feed")
                     if status != 200:
@@ -114,9 +114,9 @@
                     raise NotHttp("the feed ended")
                 except (*CONNECTION_ERRORS, *JSON_ERRORS, TimeoutError) as error:
                     what = f"{type(error).__name__} {error}"
-                    self.report.say("platform", f"{at}: feed lost, opened again: {what}")
+                    self.report.log("platform", f"{at}: feed lost, opened again: {what}")
                 except Exception:  # a defect must not end the program
-                    self.report.say("fault", traceback.format_exc(limit=-2))
+                    self.report.log("fault", traceback.format_exc(limit=-2))
                 finally:
                     if http is not None:
                         await http.close()
@@ -126,16 +126,16 @@
         with the newest state. Bytes that make no line are no sign of life: a dead feed may drip forever."""
         held, begun = b"", anyio.current_time()
         self.recent_samples.clear()
-        with anyio.fail_after(self.limits.sign_s) as life:
+        with anyio.fail_after(self.limits.feed_silence_timeout_s) as life:
             async for piece in http.body_chunks():
                 *lines, held = (held + piece).split(b"\n")
-                if len(held) > self.limits.line:
+                if len(held) > self.limits.max_feed_line_bytes:
                     raise NotHttp("an endless line")
                 for line in filter(bytes.strip, lines):
                     self._handle_line(line)
                     now = anyio.current_time()
-                    life.deadline = now + self.limits.sign_s
-                    if now - begun > self.limits.again_most_s:  # it stands: what breaks now is mended at once
+                    life.deadline = now + self.limits.feed_silence_timeout_s
+                    if now - begun > self.limits.retry_max_s:  # it stands: what breaks now is mended at once
                         self.backoff.reset()
 
     def _handle_line(self, line: bytes) -> None:
--- a/brookreach/net/poller.py
+++ b/brookreach/net/poller.py
@@ -20,14 +20,14 @@
 ENDED = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR  # the other side sends no more
 
 
-class Expiring:
+class Expirable:
     """What has a time-out; called for also when it has long been settled."""
 
     def expire(self) -> None:
         raise NotImplementedError
 
 
-class Watched(Expiring):
+class PolledSocket(Expirable):
     """What has a socket in the epoll."""
 
     def __init__(self, poller: Poller, sock: socket.socket) -> None:
@@ -35,16 +35,16 @@
         self.poller, self.sock, self.fd = poller, sock, sock.fileno()
         self.closed = False
 
-    def ready(self, mask: int) -> None:
+    def handle_events(self, mask: int) -> None:
         raise NotImplementedError
 
-    def failed(self) -> None:
+    def on_defect(self) -> None:
         """A handler raised what it should not."""
 
     def close(self) -> None:
         if not self.closed:
             self.closed = True
-            self.poller.forget(self.fd)
+            self.poller.unregister(self.fd)
             self.sock.close()
 
 
@@ -57,12 +57,12 @@
 
     def __init__(self, most: int, fault: Callable[[str], None]) -> None:
         self.epoll, self.most, self.fault = select.epoll(), most, fault
-        self.watched: dict[int, Watched] = {}
+        self.watched: dict[int, PolledSocket] = {}
         self.registered: set[int] = set()
         self.refused: dict[int, int] = {}  # masks that the kernel has not taken yet, by descriptor
-        self.since = self.polled = time.monotonic()
+        self.events_since = self.polled_at = time.monotonic()
 
-    def watch(self, one: Watched, mask: int) -> None:
+    def register(self, one: PolledSocket, mask: int) -> None:
         self.watched[one.fd] = one
         try:
             self._tell(one.fd, mask)
@@ -78,7 +78,7 @@
             self.registered.add(fd)
         self.refused.pop(fd, None)
 
-    def forget(self, fd: int) -> None:
+    def unregister(self, fd: int) -> None:
         self.watched.pop(fd, None)
         self.refused.pop(fd, None)
         if fd in self.registered:
@@ -97,9 +97,9 @@
         except OSError:  # the loop's own epoll has no room for a moment
             await anyio.sleep(WAIT_AGAIN_S)
 
-    def turn(self) -> int:
+    def poll(self) -> int:
         """Handle what is ready now; how many sockets that were."""
-        self.since, self.polled = self.polled, time.monotonic()
+        self.events_since, self.polled_at = self.polled_at, time.monotonic()
         if self.refused:
             for fd, mask in list(self.refused.items()):
                 with contextlib.suppress(OSError):
@@ -110,8 +110,8 @@
             one = self.watched.get(fd)
             if one is not None:
                 try:
-                    one.ready(mask)
+                    one.handle_events(mask)
                 except Exception:  # a defect that one connection met stays with it
                     self.fault(traceback.format_exc(limit=-2))
-                    one.failed()
+                    one.on_defect()
         return len(found)
--- a/brookreach/net/refusals.py
+++ b/brookreach/net/refusals.py
@@ -16,84 +16,90 @@
 from brookreach.net.stream import Stream
 
 
-class Refused(Stream):
+class RefusedConnection(Stream):
     """A connection that was answered before it asked anything: whatever comes on it, nothing of it ran."""
 
-    def __init__(self, home: Refusals, sock: socket.socket) -> None:
-        super().__init__(home.poller, sock, pgwire.Inbound(home.limits.message, home.pool))
-        self.home = home
+    def __init__(self, registry: RefusedConnections, sock: socket.socket) -> None:
+        super().__init__(registry.poller, sock, pgwire.MessageBuffer(registry.limits.max_message_bytes, registry.pool))
+        self.registry = registry
         self.has_written = False  # its client has: by now it reads
 
     def tell(self, answer: bytes) -> None:
         """Write the answer, then end our side. OSError where the connection is broken."""
         self.send([answer])
-        self.pushed()
+        self.on_writable()
 
-    def pushed(self) -> None:
-        if not self.rest:  # else the kernel took none of the answer, and is asked again
-            self.end_sending()
+    def on_writable(self) -> None:
+        if not self.unsent:  # else the kernel took none of the answer, and is asked again
+            self.shutdown_write()
 
-    def came(self) -> None:
+    def on_data(self) -> None:
         self.inbound.head = self.inbound.tail  # answered already; unread it would end in a reset over the answer
         self.has_written = True
-        self.home.open.move_to_end(self, last=False)
+        self.registry.open.move_to_end(self, last=False)
 
-    def broke(self, why: str) -> None:
+    def on_closed(self, why: str) -> None:
         self.end()
 
     def end(self) -> None:
         if not self.closed:
             self.close()
-            self.home.left(self)
+            self.registry.remove(self)
 
 
-class Refusals:
+class RefusedConnections:
     """Those that have not closed yet: first those that make room, then the oldest.
 
-    `on_room` is called when one has gone, `spare` tells how many descriptors kept for nodes are not used.
+    `on_removed` is called when one has gone, `available_links` tells how many descriptors kept for nodes are not used.
     """
 
     def __init__(
         self,
         limits: Limits,
         poller: Poller,
-        pool: pgwire.Pool,
-        on_room: Callable[[], object],
-        spare: Callable[[], int],
+        pool: pgwire.BufferPool,
+        on_removed: Callable[[], object],
+        available_links: Callable[[], int],
     ) -> None:
-        self.limits, self.poller, self.pool, self.on_room, self.spare = limits, poller, pool, on_room, spare
-        self.open: OrderedDict[Refused, float] = OrderedDict()
+        self.limits, self.poller, self.pool, self.on_removed, self.available_links = (
+            limits,
+            poller,
+            pool,
+            on_removed,
+            available_links,
+        )
+        self.open: OrderedDict[RefusedConnection, float] = OrderedDict()
 
     def is_full(self) -> bool:
         """Whether one more would cut short one that may not have read its answer."""
         return len(self.open) >= self._room() and not next(iter(self.open)).has_written
 
     def _room(self) -> int:
-        return max(1, self.limits.refusals + max(0, self.spare()) // 2)
+        return max(1, self.limits.min_refusals + max(0, self.available_links()) // 2)
 
     def refuse(self, sock: socket.socket, state: bytes, text: str, is_welcomed: bool = False) -> None:
         """A close is no answer: say that trying again is harmless, then end our side."""
         while len(self.open) >= self._room():
             self._close(next(iter(self.open)))
-        refused = Refused(self, sock)
+        refused = RefusedConnection(self, sock)
         self.open[refused] = time.monotonic()
         try:
-            refused.tell(pgwire.fatal(state, text, ready=is_welcomed))
+            refused.tell(pgwire.fatal_response(state, text, ready=is_welcomed))
         except OSError:  # it has gone
             refused.end()
 
-    def left(self, refused: Refused) -> None:
+    def remove(self, refused: RefusedConnection) -> None:
         self.open.pop(refused, None)
-        self.on_room()
+        self.on_removed()
 
-    def _close(self, refused: Refused) -> None:
+    def _close(self, refused: RefusedConnection) -> None:
         for mask in (OUT, IN):  # the rest of its answer, and what would end it in a reset
             if not refused.closed:
-                refused.ready(mask)
+                refused.handle_events(mask)
         refused.end()
 
     def sweep(self) -> None:
         """Close those that had their time to close by themselves."""
-        before = time.monotonic() - self.limits.refusal_s
+        before = time.monotonic() - self.limits.refusal_timeout_s
         for refused in [one for one, since in self.open.items() if since < before]:
             self._close(refused)
--- a/brookreach/net/report.py
+++ b/brookreach/net/report.py
@@ -12,17 +12,17 @@
 import traceback
 from collections.abc import Callable
 
-Writer = Callable[[str, str], object]  # a line's kind and its words
-Writers = Callable[[str], Writer | None]  # by a marshal's name what writes its lines; None: plain ones
+LineWriter = Callable[[str, str], object]  # a line's kind and its words
+LineWriterFactory = Callable[[str], LineWriter | None]  # by a marshal's name what writes its lines; None: plain ones
 
 
 class Report:
-    def __init__(self, name: str, lines: int, writer: Writer | None = None):
+    def __init__(self, name: str, lines: int, writer: LineWriter | None = None):
         self.name, self.most = name, lines
-        self.write: Writer = writer or self.plain
+        self.write: LineWriter = writer or self.write_plain
         self.counts: dict[str, list[int]] = {}  # by kind: the second, lines in it, lines left out
 
-    def say(self, kind: str, text: str) -> None:
+    def log(self, kind: str, text: str) -> None:
         second = int(time.monotonic())
         count = self.counts.setdefault(kind, [second, 0, 0])
         left_out = 0
@@ -36,14 +36,14 @@
             self.write(kind, f"{left_out} lines left out")
         self.write(kind, " ".join(text.split()))
 
-    def plain(self, kind: str, text: str) -> None:
+    def write_plain(self, kind: str, text: str) -> None:
         with contextlib.suppress(OSError):  # who reads the log may have gone, or its disk be full
             print(f"{self.name} {kind}: {text}", file=sys.stderr, flush=True)
 
 
-def run_guarded(report: Report, step: Callable[[], object]) -> None:
+def run_logging_errors(report: Report, step: Callable[[], object]) -> None:
     """Run one step. A defect that it meets is logged as a `fault`, and ends nothing else."""
     try:
         step()
     except Exception:
-        report.say("fault", traceback.format_exc(limit=-2))
+        report.log("fault", traceback.format_exc(limit=-2))
--- a/brookreach/net/result.py
+++ b/brookreach/net/result.py
@@ -7,56 +7,56 @@
 
 from brookreach.net.pgwire import (
     HARMLESS_REPLY_TAGS,
-    HEAD,
-    INT,
+    INT32,
+    MESSAGE_HEADER,
     OutOfOrderError,
     SecondAnswerError,
     begins_answer,
-    error_state,
+    error_sqlstate,
     unexpected,
 )
 
 VALUE = 64 * 1024  # bytes of a value at most
-SELECTED, INSERTED = b"SELECT 1\0", b"INSERT 0 1\0"
+SELECT_TAG, INSERT_TAG = b"SELECT 1\0", b"INSERT 0 1\0"
 
 
-class Result:
+class QueryResult:
     """What a node's messages say about one query, message by message.
 
-    `verdict` stays None until its end is known: then b"" for one whole row, else an SQLSTATE. What is not
+    `sqlstate` stays None until its end is known: then b"" for one whole row, else an SQLSTATE. What is not
     exactly one row of one column, closed by the words for its statement, raises."""
 
     def __init__(self, write: bool = False) -> None:
-        self.parts: list[bytes | memoryview] = []
-        self.words = INSERTED if write else SELECTED
-        self.verdict: bytes | None = None
-        self.ready = False
+        self.messages: list[bytes | memoryview] = []
+        self.words = INSERT_TAG if write else SELECT_TAG
+        self.sqlstate: bytes | None = None
+        self.is_ready = False
 
-    def message(self, tag: bytes, body: memoryview) -> None:
+    def add_message(self, tag: bytes, body: memoryview) -> None:
         match tag:
             case b"N" | b"S":
                 return
-            case b"Z" if self.verdict is not None and body == b"I":
-                self.ready = True
+            case b"Z" if self.sqlstate is not None and body == b"I":
+                self.is_ready = True
                 return
-            case b"E" if self.verdict is None:
+            case b"E" if self.sqlstate is None:
                 # Behind the begin of a row, no state of an error proves that nothing ran.
-                self.verdict = error_state(body) if not self.parts else b""
-                self.verdict = self.verdict or b"XX000"
+                self.sqlstate = error_sqlstate(body) if not self.messages else b""
+                self.sqlstate = self.sqlstate or b"XX000"
                 return
-            case b"T" if not self.parts and one_column(body):
+            case b"T" if not self.messages and one_column(body):
                 pass
-            case b"D" if len(self.parts) == 2 and one_value(body):
+            case b"D" if len(self.messages) == 2 and one_value(body):
                 pass
-            case b"C" if len(self.parts) == 4 and self.verdict is None and body == self.words:
-                self.verdict = b""
-            case _ if self.verdict is not None and begins_answer(tag, body):
+            case b"C" if len(self.messages) == 4 and self.sqlstate is None and body == self.words:
+                self.sqlstate = b""
+            case _ if self.sqlstate is not None and begins_answer(tag, body):
                 raise SecondAnswerError("a second answer in front of ReadyForQuery")
-            case _ if not self.parts and tag in HARMLESS_REPLY_TAGS:
+            case _ if not self.messages and tag in HARMLESS_REPLY_TAGS:
                 raise OutOfOrderError("a reply to a harmless query in front of the answer")
             case _:
                 raise unexpected(tag, body, "out of place or not whole")
-        self.parts += [HEAD.pack(tag, 4 + len(body)), bytes(body)]
+        self.messages += [MESSAGE_HEADER.pack(tag, 4 + len(body)), bytes(body)]
 
 
 def one_column(body: memoryview) -> bool:
@@ -70,5 +70,5 @@
         len(body) >= 6
         and body[:2] == b"\0\1"
         and len(body) - 6 <= VALUE
-        and (INT.unpack_from(body, 2)[0] == len(body) - 6)
+        and (INT32.unpack_from(body, 2)[0] == len(body) - 6)
     )
--- a/brookreach/scale/hollow_marshal.py
+++ b/brookreach/scale/hollow_marshal.py
@@ -72,13 +72,13 @@
 def parts(name: str, zone: str, numbers: Mapping[str, int]) -> SimpleNamespace:
     """What an attendance needs of a marshal: its name, its zone, and the nodes that discovery has listed."""
     return SimpleNamespace(
-        report=SimpleNamespace(name=name, say=lambda kind, text: None),
-        told={"settings": {"zones": [zone]}},
+        report=SimpleNamespace(name=name, log=lambda kind, text: None),
+        configuration={"settings": {"zones": [zone]}},
         discovery=SimpleNamespace(node_numbers=numbers, version=1, on_node_list=None),
         driver=SimpleNamespace(
-            start=SimpleNamespace(place=SimpleNamespace(zone=0)),
+            settings=SimpleNamespace(place=SimpleNamespace(zone=0)),
             nodes=SimpleNamespace(endpoints={}),
-            told=lambda listing, listed: None,
+            on_node_list=lambda listing, listed: None,
         ),
     )
 
--- a/brookreach/scale/hollow_process.py
+++ b/brookreach/scale/hollow_process.py
@@ -99,7 +99,7 @@
         with anyio.move_on_after(1.0):
             async with anyio.create_task_group() as tasks:
                 for marshal in self.started:
-                    tasks.start_soon(marshal.ends)
+                    tasks.start_soon(marshal.finish_shutdown)
 
     def _obey(self, command: Command, tasks: anyio.abc.TaskGroup) -> None:
         match command:
--- a/brookreach/scale/marshal_lists.py
+++ b/brookreach/scale/marshal_lists.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 from brookreach import interface as ifc
-from brookreach.__main__ import Parts
 from brookreach.net.in_flight import PickResult
+from brookreach.net.runtime import BalancerRuntime
 from brookreach.scale import marshal_configuration as configured
 from brookreach.scale.marshal_load import WAIT_MS
 from brookreach.scale.marshal_sizes import Size
@@ -49,9 +49,9 @@
         self.bytes, self.members = len(json.dumps(told)), told["known"]["members"]
         self.version, self.rpcs = configured.VERSION, 0
         before = time.thread_time_ns()
-        self.parts = Parts(told)
+        self.parts = BalancerRuntime(told)
         self.start_ms = (time.thread_time_ns() - before) / NS_PER_MS
-        self.now = self.parts.driver.clock.now()
+        self.now = self.parts.driver.clock.now_ms()
         self.events()
 
     def events(self) -> None:
@@ -59,7 +59,7 @@
         while queue:
             event = queue.popleft()
             assert not isinstance(event, PickResult)  # no pick was carried out
-            self.parts.driver.marshal.handle(self.now, event)
+            self.parts.driver.balancer.handle(self.now, event)
 
     def take(self, complete: bool, members: list[dict[str, Any]]) -> ListCost:
         self.version += 1
@@ -71,7 +71,7 @@
     def next_rpc(self) -> None:
         self.rpcs += 1
         taken = ifc.RpcReceived(self.rpcs, 0, 0, 0, self.now + WAIT_MS, None, False, False)
-        self.parts.driver.marshal.handle(self.now, taken)
+        self.parts.driver.balancer.handle(self.now, taken)
 
     def whole(self) -> ListCost:
         return _median([self.take(True, self.members) for _ in range(TIMES)])
--- a/brookreach/scale/marshal_process.py
+++ b/brookreach/scale/marshal_process.py
@@ -18,7 +18,7 @@
 import anyio
 import anyio.abc
 
-from brookreach.net.stream import address
+from brookreach.net.stream import parse_address
 from brookreach.scale import marshal_configuration as configured
 from brookreach.scale.marshal_build import Build
 from brookreach.scale.marshal_sizes import Size
@@ -111,7 +111,7 @@
 
 async def _measure(size: Size, build: Build, seconds: float) -> ProcessCost:
     async with _playing(size) as (site, told), _marshal(told, build) as (process, begun):
-        await _first_answer(address(told["listen"]), process)
+        await _first_answer(parse_address(told["listen"]), process)
         first_answer_s, start_cpu_s = time.monotonic() - begun, cpu_s(process.pid)
         with anyio.move_on_after(WATCHES_WITHIN_S):
             await site.watched.wait()
--- a/brookreach/simulation/balancer/clients.py
+++ b/brookreach/simulation/balancer/clients.py
@@ -14,7 +14,7 @@
 from brookreach.simulation.balancer.scenario import ClientStyle
 from brookreach.simulation.stand_ins import GONE
 
-HELLO = pgwire.hello("portal", "crm")
+HELLO = pgwire.startup_message("portal", "crm")
 THINK_S = (0.0, 0.05)
 READ_PAUSE_S = (0.1, 0.6)
 LEAVE_S = (0.02, 0.25)
@@ -48,7 +48,7 @@
         self._record.requests.append(request)
         verb, method = ("SELECT", "look") if is_safe else ("INSERT", "book")
         text = f"{verb} 'x' /* id={name},c={method},d={wait_s * 1000.0:.0f} */"
-        return request, b"".join(pgwire.query(text.encode()))
+        return request, b"".join(pgwire.query_message(text.encode()))
 
 
 class Client:
--- a/brookreach/simulation/balancer/connection.py
+++ b/brookreach/simulation/balancer/connection.py
@@ -16,7 +16,7 @@
 from brookreach.simulation.balancer.record import Outcome, Record, Request
 from brookreach.simulation.stand_ins import GONE
 
-REFUSALS = (pgwire.PUSHED_BACK, pgwire.NOT_READY)
+REFUSALS = (pgwire.PUSH_BACK_SQLSTATE, pgwire.NOT_READY_SQLSTATE)
 POLL_S = 0.005
 NO_LINGER = b"\1\0\0\0\0\0\0\0"
 
@@ -118,7 +118,7 @@
             self._said = Outcome.SERVED
         elif tag == b"E":
             view = memoryview(body)
-            self._said = Outcome.REFUSED if pgwire.error_state(view) in REFUSALS else Outcome.FAILED
+            self._said = Outcome.REFUSED if pgwire.error_sqlstate(view) in REFUSALS else Outcome.FAILED
             if pgwire.ends_connection(view):
                 self._on_fatal_error(self._said)
         elif tag == b"Z" and not self._is_ending:
--- a/brookreach/simulation/balancer/second_answers.py
+++ b/brookreach/simulation/balancer/second_answers.py
@@ -35,7 +35,7 @@
 
 
 def _without_its_end(answer: bytes) -> bytes:
-    return answer.removesuffix(pgwire.READY)
+    return answer.removesuffix(pgwire.READY_FOR_QUERY)
 
 
 KINDS: tuple[Callable[[bytes], bytes], ...] = (
--- a/brookreach/simulation/balancer/soak_run.py
+++ b/brookreach/simulation/balancer/soak_run.py
@@ -165,7 +165,7 @@
         try:
             async with await anyio.connect_tcp(HOST, self._port) as stream:
                 messages = MessageStream(stream)
-                await stream.send(HELLO + b"".join(pgwire.query(b"")))
+                await stream.send(HELLO + b"".join(pgwire.query_message(b"")))
                 while True:
                     tag, _ = await messages.receive()
                     if tag == b"I":
--- a/brookreach/simulation/disruption/process_drill.py
+++ b/brookreach/simulation/disruption/process_drill.py
@@ -12,7 +12,7 @@
 
 from brookreach.disruption import commands
 from brookreach.disruption.application import APPLICATION
-from brookreach.net.stream import address
+from brookreach.net.stream import parse_address
 from brookreach.simulation import stand_ins
 from brookreach.simulation.disruption.process_faults import FAULTS, FaultInjector, fault_order
 from brookreach.simulation.disruption.process_fleet import BUDGETS, MAX_BALANCERS, ProcessFleet, query_text
@@ -90,7 +90,7 @@
 
     async def _send_queries(self, index: int, balancer: str) -> None:
         """Queries on a connection each, one after another, until cancelled."""
-        target = address(self.fleet.addresses[balancer])
+        target = parse_address(self.fleet.addresses[balancer])
         while True:
             self.query_count += 1
             with anyio.move_on_after(QUERY_TIMEOUT_S):
--- a/brookreach/benchlink/host.py
+++ b/brookreach/simulator_adapter/instances.py
@@ -5,13 +5,20 @@
 import sys
 from typing import Any, BinaryIO
 
-from brookreach.benchlink.frames import WireError, read_frame, write_frame
-from brookreach.benchlink.words import Record, entry_from, event_from, record_from, start_from, us_to_ms
 from brookreach.interface import Action, BalancerSettings, DecisionFault, NodeEntry
 from brookreach.policy.balancer import Balancer
+from brookreach.simulator_adapter.frame_codec import WireError, read_frame, write_frame
+from brookreach.simulator_adapter.translation import (
+    Record,
+    entry_from,
+    event_from,
+    record_from,
+    settings_from,
+    us_to_ms,
+)
 
 
-class Host:
+class InstanceHost:
     def __init__(self) -> None:
         self.lives: dict[int, tuple[Balancer, BalancerSettings]] = {}
         self.pools: dict[int, tuple[NodeEntry, ...]] = {}
@@ -35,7 +42,7 @@
     def _one(self, now: float, name: str, instance: int, rest: tuple[Any, ...]) -> list[Action]:
         try:
             if name == "Up":
-                start = start_from(rest[0], rest[1])
+                start = settings_from(rest[0], rest[1])
             elif instance not in self.lives:
                 return []  # of an earlier life
             else:
@@ -63,12 +70,12 @@
 
 def serve(source: BinaryIO, sink: BinaryIO) -> int:
     """Answer batches until the input ends; the exit code."""
-    host = Host()
+    host = InstanceHost()
     try:
         while (frame := read_frame(source)) is not None:
             number, clock_us, events = frame
             write_frame(sink, number, host.answer(clock_us, events))
     except WireError as error:
-        print(f"benchlink: {error}", file=sys.stderr)
+        print(f"simulator_adapter: {error}", file=sys.stderr)
         return 2
     return 0
--- a/brookreach/verdict/keep.py
+++ b/brookreach/verdict/keep.py
@@ -53,10 +53,10 @@
 
 
 def keep(parts: Any, path: Path) -> Keeper:
-    """Watch the driver of `parts` (of `brookreach.__main__`) from its next event on."""
+    """Watch the driver of `parts` (a `brookreach.net.runtime.BalancerRuntime`) from its next event on."""
     driver = parts.driver
-    keeper = Keeper(Recorder(driver.start, parts.report.name), path, parts.report.say)
-    driver.watch = keeper.hear
-    if driver.news is not None:
-        keeper.hear(driver.clock.now(), driver.news)
+    keeper = Keeper(Recorder(driver.settings, parts.report.name), path, parts.report.log)
+    driver.observer = keeper.hear
+    if driver.rollout_status is not None:
+        keeper.hear(driver.clock.now_ms(), driver.rollout_status)
     return keeper
--- a/brookreach/xds/codec.py
+++ b/brookreach/xds/codec.py
@@ -59,7 +59,7 @@
             self.cache[key] = body
             while len(self.cache) > MAX_CACHED_RESPONSES:
                 self.cache.popitem(last=False)
-        # Parts of a message that stand one after the other are one message.
+        # BalancerRuntime of a message that stand one after the other are one message.
         part = (discovery_pb2.DeltaDiscoveryResponse if delta else discovery_pb2.DiscoveryResponse)(nonce=answer.nonce)
         return body + part.SerializeToString()
 
--- a/brookreach/xds/control_plane.py
+++ b/brookreach/xds/control_plane.py
@@ -9,11 +9,11 @@
 
 import anyio
 
-from brookreach.__main__ import Parts
 from brookreach.configuration import read_json_object
 from brookreach.files import InvalidFileError
 from brookreach.net.endpoint import ListedNode
-from brookreach.net.report import Writers
+from brookreach.net.report import LineWriterFactory
+from brookreach.net.runtime import BalancerRuntime
 from brookreach.tls.reloader import CredentialsReloader
 from brookreach.xds import store
 from brookreach.xds.ads_server import AdsServer, create_server
@@ -29,15 +29,15 @@
 class ControlPlane:
     """All parts of one control service."""
 
-    def __init__(self, path: Path, told: ControlFile, lines: Writers | None = None):
+    def __init__(self, path: Path, told: ControlFile, lines: LineWriterFactory | None = None):
         self.path, self.configuration = path, told
         marshal = read_json_object(str(path.parent / told.serve.balancer), f"{path}: serve.marshal")
-        self.parts = Parts(marshal, lines)
-        self.log = lambda text: self.parts.report.say("xds", text)
+        self.parts = BalancerRuntime(marshal, lines)
+        self.log = lambda text: self.parts.report.log("xds", text)
         zones = list(marshal["settings"]["zones"])
         instance_id = f"{time.time_ns():x}"  # unlike that of any life before it
         self.cache = SnapshotCache(
-            self.parts.driver.start,
+            self.parts.driver.settings,
             zones,
             instance_id,
             told.serve.merge_ms,
@@ -49,7 +49,7 @@
             self.log,
             told.permissions(),
             max_streams=told.serve.max_streams,
-            clock=self.parts.driver.clock.now,
+            clock=self.parts.driver.clock.now_ms,
         )
         self.credentials_reloader = self._make_credentials_reloader()
         self.addresses: dict[int, NodeAddress] = {}
@@ -71,7 +71,7 @@
             folder / tls.key,
             trusted,
             tls.name,
-            lambda text: self.parts.report.say("tls", text),
+            lambda text: self.parts.report.log("tls", text),
         )
 
     def _both(self, listing: Any) -> Any:
@@ -88,7 +88,7 @@
         driver = self.parts.driver
         if not self.discovery_received:
             return
-        view = balancer_view(driver.marshal, driver.clock.now())
+        view = balancer_view(driver.balancer, driver.clock.now_ms())
         known = {node.entry.node for node in view.nodes}
         self.addresses = {node: seat for node, seat in self.addresses.items() if node in known}
         self.ads.update(view, self.addresses)
@@ -139,7 +139,7 @@
 
     def _stands(self) -> tuple[object, ...]:
         """What is looked at and kept at once when it changes; news told again are no change."""
-        news = self.parts.driver.news
+        news = self.parts.driver.rollout_status
         return self.parts.discovery.version, news and (news.build, news.stage, news.phase, news.cap)
 
     async def reload_credentials(self) -> None:
@@ -151,7 +151,7 @@
                 self.credentials_reloader.reload()
                 left = self.credentials_reloader.credentials.days_left(self.credentials_reloader.now())
                 if left < 14.0:
-                    self.parts.report.say(
+                    self.parts.report.log(
                         "tls", f"{left:.1f} days left of serial {self.credentials_reloader.credentials.serial}"
                     )
 
