--- a/brookreach/cli/drill.py
+++ b/brookreach/cli/drill.py
@@ -12,7 +12,7 @@
 
 DRILLS = {
     "verdict": "brookreach.simulation.verdict",
-    "xds": "brookreach.simulation.xds",
+    "xds": "brookreach.simulation.xds.drill",
     "fleet": "brookreach.simulation.coordination.drill",
     "mutation": "brookreach.simulation.mutation.drill",
     "outages": "brookreach.simulation.disruption.drill",
--- a/tests/test_xds_commands.py
+++ b/tests/test_xds_commands.py
@@ -7,7 +7,7 @@
 import unittest
 from pathlib import Path
 
-from brookreach.simulation import xds as drill
+from brookreach.simulation.xds import drill
 from brookreach.tls.credentials import verify_credentials
 from brookreach.tls.errors import InvalidCredentialsError
 from brookreach.tls.reloader import CredentialsReloader
