--- a/brookreach/xds/subscription.py
+++ b/brookreach/xds/subscription.py
@@ -2,9 +2,10 @@
 
 from __future__ import annotations
 
+from collections.abc import Container, Iterable, Mapping
 from dataclasses import dataclass, field
 
-from brookreach.xds.messages import Resource
+from brookreach.xds.messages import WILDCARD, Resource
 
 
 @dataclass
@@ -46,3 +47,48 @@
     def wants(self, name: str) -> bool:
         """Return whether a resource is subscribed to."""
         return self.wildcard or name in self.names
+
+    def subscribe(self, names: Iterable[str], held_names: Container[str]) -> None:
+        """Add the names of a delta request.
+
+        Args:
+            names: What is subscribed to; "*" stands for all resources.
+            held_names: What the proxy holds from an earlier stream: it is sent only if its version has changed.
+        """
+        for name in names:
+            if name == WILDCARD:
+                self.wildcard = True
+                continue
+            self.names.add(name)
+            if name not in held_names:
+                self.requested_again.add(name)
+            self.reported_absent.discard(name)
+
+    def unsubscribe(self, names: Iterable[str]) -> None:
+        """Remove the names of a delta request, and forget what the proxy drops by it."""
+        for name in names:
+            if name == WILDCARD:
+                self.wildcard = False
+                for other in set(self.client_versions) - self.names:
+                    self.client_versions.pop(other)
+                    self.acked_versions.pop(other, None)
+                continue
+            self.names.discard(name)
+            self.reported_absent.discard(name)
+            self.requested_again.discard(name)
+            if not self.wildcard:
+                self.client_versions.pop(name, None)
+                self.acked_versions.pop(name, None)
+
+    def changed_resources(self, resources: Mapping[str, Resource]) -> dict[str, Resource]:
+        """Return the resources that have to be sent.
+
+        These are the ones that the proxy lacks, holds in another version or subscribed to anew. A version that it
+        NACKed is sent only if it subscribed to the resource anew.
+        """
+        return {
+            name: resource
+            for name, resource in resources.items()
+            if name in self.requested_again
+            or resource.version not in (self.client_versions.get(name), self.nacked_versions.get(name))
+        }
