--- a/brookreach/xds/ads_server.py
+++ b/brookreach/xds/ads_server.py
@@ -1,7 +1,7 @@
-"""The thin part with sockets: ADS by gRPC on the running loop, over mutual TLS or, on loopback, plain.
+"""The streams of the aggregated discovery service (ADS), by gRPC on the running loop.
 
-A stream is a reader task and a writer. The writer asks the book what is due and writes one answer at a time;
-gRPC's flow control holds it up, so a slow reader costs one answer a type and no queue. Responses are
+A stream has a task that reads and one that writes. The writer asks the cache what is due and writes one response after
+the other. gRPC's flow control holds it up, so that a slow reader costs one response a type and no queue. Responses are
 serialised once for all streams that get the same; only the nonce differs.
 """
 
@@ -9,57 +9,54 @@
 
 import math
 import time
-from collections.abc import AsyncIterator, Callable
-from dataclasses import dataclass
+from collections.abc import AsyncIterator, Callable, Mapping
 from typing import Any
 
 import anyio
 import grpc
-import grpc.aio
 from envoy.service.discovery.v3 import discovery_pb2
 
-from brookreach.tls.reloader import CredentialsReloader
 from brookreach.xds.codec import ResponseEncoder, delta_request, sotw_request
 from brookreach.xds.messages import DiscoveryRequest, Limits, StreamRejectedError
+from brookreach.xds.permissions import NodeIdPermissions, peer_names
+from brookreach.xds.records import BalancerView, NodeAddress
 from brookreach.xds.snapshot_cache import SnapshotCache
 from brookreach.xds.stream import AdsStream
 
-ADS_SERVICE = "envoy.service.discovery.v3.AggregatedDiscoveryService"
 STATUS_CODES = {
     "INVALID_ARGUMENT": grpc.StatusCode.INVALID_ARGUMENT,
     "RESOURCE_EXHAUSTED": grpc.StatusCode.RESOURCE_EXHAUSTED,
     "PERMISSION_DENIED": grpc.StatusCode.PERMISSION_DENIED,
     "UNAVAILABLE": grpc.StatusCode.UNAVAILABLE,
 }
-MAX_REQUEST_BYTES, MAX_NODE_ID_BYTES, MAX_METADATA_BYTES = 1 << 20, 256, 64 << 10
+"""gRPC's statuses by the names that `StreamRejectedError` uses."""
 
+MAX_NODE_ID_BYTES = 256
+MAX_METADATA_BYTES = 64 << 10
+IDLE_CHECK_S = 1.0
+"""How often publishing is checked while no change is known."""
 
-@dataclass(frozen=True)
-class NodeIdPermissions:
-    """Which node ids a client certificate's name may speak for; a star at the end stands for the rest."""
 
-    by_name: tuple[tuple[str, tuple[str, ...]], ...] = ()
-
-    def allows(self, names: set[str], node: str) -> bool:
-        if not self.by_name:
-            return True
-        return any(
-            name in names and any(node == one or (one.endswith("*") and node.startswith(one[:-1])) for one in nodes)
-            for name, nodes in self.by_name
-        )
-
-
-def peer_names(context: Any) -> set[str]:
-    held = context.auth_context()
-    return {
-        octets.decode("utf-8", "replace")
-        for key in ("x509_subject_alternative_name", "x509_common_name")
-        for octets in held.get(key, ())
-    }
+def monotonic_ms() -> float:
+    """Return the monotonic time in ms."""
+    return time.monotonic() * 1000.0
 
 
 class AdsServer:
-    """All streams of one server."""
+    """All streams of one server.
+
+    Attributes:
+        cache: What is sent.
+        log: Takes one line.
+        permissions: Which node ids a client may use; replaced when the configuration is read again.
+        limits: Of each stream.
+        max_streams: Streams that may be open at a time.
+        clock: The time in ms.
+        encoder: Shared by all streams.
+        open_streams: How many are open, with those that have not sent a request yet.
+        wakeups: By stream: set when it may have something to send.
+        changed: Set when the cache may have something to publish.
+    """
 
     def __init__(
         self,
@@ -68,51 +65,59 @@
         permissions: NodeIdPermissions | None = None,
         limits: Limits | None = None,
         max_streams: int = 4096,
-        clock: Callable[[], float] = lambda: time.monotonic() * 1000.0,
+        clock: Callable[[], float] = monotonic_ms,
     ):
-        self.cache, self.log, self.permissions, self.limits = (
-            cache,
-            log,
-            permissions or NodeIdPermissions(),
-            limits or Limits(),
-        )
-        self.max_streams, self.clock, self.encoder = max_streams, clock, ResponseEncoder()
-        self.open_streams = 0  # streams, those that have said nothing yet among them
+        self.cache = cache
+        self.log = log
+        self.permissions = permissions or NodeIdPermissions()
+        self.limits = limits or Limits()
+        self.max_streams = max_streams
+        self.clock = clock
+        self.encoder = ResponseEncoder()
+        self.open_streams = 0
         self.wakeups: dict[AdsStream, anyio.Event] = {}
         self.changed = anyio.Event()
 
-    def update(self, view: Any, seats: Any) -> None:
-        self.cache.update(self.clock(), view, seats)
+    def update(self, view: BalancerView, addresses: Mapping[int, NodeAddress]) -> None:
+        """Set the view that is served."""
+        self.cache.update(self.clock(), view, addresses)
         self.changed.set()
 
     async def publish(self) -> None:
-        """Publishes what is due, merged changes when their time has come."""
+        """Publish snapshots as they become due, until cancelled."""
         while True:
             now = self.clock()
             if self.cache.publish(now) is not None:
                 self.wake_all()
-            wait = (self.cache.publish_at - self.clock()) / 1000.0
-            with anyio.move_on_after(max(0.0, wait) if math.isfinite(wait) else 1.0):
+            wait_s = (self.cache.publish_at - self.clock()) / 1000.0
+            with anyio.move_on_after(max(0.0, wait_s) if math.isfinite(wait_s) else IDLE_CHECK_S):
                 await self.changed.wait()
             self.changed = anyio.Event()
 
     def wake_all(self) -> None:
-        for event in self.wakeups.values():
-            event.set()
+        """Let every stream check what it has to send."""
+        for wakeup in self.wakeups.values():
+            wakeup.set()
 
     async def state_of_the_world(self, requests: AsyncIterator[bytes], context: Any) -> None:
+        """Handle the method StreamAggregatedResources."""
         await self.stream(requests, context, False)
 
     async def delta(self, requests: AsyncIterator[bytes], context: Any) -> None:
+        """Handle the method DeltaAggregatedResources."""
         await self.stream(requests, context, True)
 
     def authorize(self, request: Any, context: Any) -> str:
-        """The node's id; raises InvalidFrameError."""
+        """Return the node id of a stream's first request.
+
+        Raises:
+            StreamRejectedError: It is no valid node id, or not one of this client's.
+        """
         node = request.node.id
-        if not node or len(node.encode()) > MAX_NODE_ID_BYTES:
-            raise StreamRejectedError(
-                "INVALID_ARGUMENT", f"node.id: {len(node.encode())} bytes; 1 to {MAX_NODE_ID_BYTES} are allowed"
-            )
+        node_bytes = len(node.encode())
+        if not node or node_bytes > MAX_NODE_ID_BYTES:
+            text = f"node.id: {node_bytes} bytes; 1 to {MAX_NODE_ID_BYTES} are allowed"
+            raise StreamRejectedError("INVALID_ARGUMENT", text)
         if request.node.metadata.ByteSize() > MAX_METADATA_BYTES:
             raise StreamRejectedError("INVALID_ARGUMENT", f"node.metadata: over {MAX_METADATA_BYTES} bytes")
         if not self.permissions.allows(peer_names(context), node):
@@ -120,125 +125,92 @@
         return str(node)
 
     async def stream(self, requests: AsyncIterator[bytes], context: Any, delta: bool) -> None:
-        name, session = "", None
-        parse = discovery_pb2.DeltaDiscoveryRequest if delta else discovery_pb2.DiscoveryRequest
+        """Serve one stream until its client ends it or is rejected.
+
+        Args:
+            requests: The serialised requests.
+            context: The call's `grpc.aio.ServicerContext`; any: grpc is not typed.
+            delta: Whether it is the delta variant.
+        """
+        name, stream = "", None
+        message_type = discovery_pb2.DeltaDiscoveryRequest if delta else discovery_pb2.DiscoveryRequest
         decode = delta_request if delta else sotw_request
         self.open_streams += 1
         try:
-            if self.open_streams > self.max_streams:
-                raise StreamRejectedError("RESOURCE_EXHAUSTED", f"{self.max_streams} streams are open")
-            async for octets in requests:
-                request = self._parse(parse, octets)
+            self._check_open_streams()
+            async for data in requests:
+                request = _parse(message_type, data)
                 name = self.authorize(request, context)
-                session = self.cache.open_stream(self.clock(), name, delta, self.limits)
-                if session is None:
-                    raise StreamRejectedError("RESOURCE_EXHAUSTED", f"{self.cache.max_proxies} proxies are known")
-                self.wakeups[session] = anyio.Event()
-                self.wakeups[session].set()
-                session.handle_request(decode(request))
-                await self._serve_stream(requests, context, session, name, parse, decode)
+                stream = self._open(name, delta)
+                stream.handle_request(decode(request))
+                await self._serve(requests, context, stream, name, lambda data: decode(_parse(message_type, data)))
                 return
-        except StreamRejectedError as refused:
-            self.log(f"proxy {name or 'unknown'} ended: {refused.code} {refused}")
-            await context.abort(STATUS_CODES[refused.code], str(refused))
+        except StreamRejectedError as error:
+            self.log(f"proxy {name or 'unknown'} ended: {error.code} {error}")
+            await context.abort(STATUS_CODES[error.code], str(error))
         finally:
             self.open_streams -= 1
-            if session is not None:
-                self.wakeups.pop(session, None)
-                self.cache.close_stream(self.clock(), name, session)
-
-    async def _serve_stream(
+            if stream is not None:
+                self.wakeups.pop(stream, None)
+                self.cache.close_stream(self.clock(), name, stream)
+
+    def _check_open_streams(self) -> None:
+        if self.open_streams > self.max_streams:
+            raise StreamRejectedError("RESOURCE_EXHAUSTED", f"{self.max_streams} streams are open")
+
+    def _open(self, name: str, delta: bool) -> AdsStream:
+        stream = self.cache.open_stream(self.clock(), name, delta, self.limits)
+        if stream is None:
+            raise StreamRejectedError("RESOURCE_EXHAUSTED", f"{self.cache.max_proxies} proxies are known")
+        self.wakeups[stream] = anyio.Event()
+        self.wakeups[stream].set()
+        return stream
+
+    async def _serve(
         self,
         requests: AsyncIterator[bytes],
         context: Any,
-        session: AdsStream,
+        stream: AdsStream,
         name: str,
-        parse: Any,
-        decode: Callable[[Any], DiscoveryRequest],
+        decode: Callable[[bytes], DiscoveryRequest],
     ) -> None:
-        refused: list[StreamRejectedError] = []
+        """Read requests and write responses; raises StreamRejectedError after a request that ends the stream."""
+        rejections: list[StreamRejectedError] = []
         async with anyio.create_task_group() as tasks:
 
             async def read() -> None:
                 try:
-                    async for octets in requests:
-                        session.handle_request(decode(self._parse(parse, octets)))
-                        self._handle_verdicts(session, name)
-                        self.wakeups[session].set()
-                except StreamRejectedError as one:
-                    refused.append(one)
+                    async for data in requests:
+                        stream.handle_request(decode(data))
+                        self._handle_acknowledgements(stream, name)
+                        self.wakeups[stream].set()
+                except StreamRejectedError as error:
+                    rejections.append(error)
                 tasks.cancel_scope.cancel()
 
             tasks.start_soon(read)
             while True:
-                await self.wakeups[session].wait()
-                self.wakeups[session] = anyio.Event()
-                while answers := self.cache.pending_responses(session):
-                    for answer in answers:
-                        await context.write(self.encoder.encode(answer, session.delta))
-        if refused:
-            raise refused[0]
-
-    def _handle_verdicts(self, session: AdsStream, name: str) -> None:
-        for url, version, words in session.nacked:
-            self.log(f"proxy {name} NACK {url.rsplit('.', 1)[-1]} {version[:12]}: {words}")
-        if session.acked or session.nacked:
+                await self.wakeups[stream].wait()
+                self.wakeups[stream] = anyio.Event()
+                while responses := self.cache.pending_responses(stream):
+                    for response in responses:
+                        await context.write(self.encoder.encode(response, stream.delta))
+        if rejections:
+            raise rejections[0]
+
+    def _handle_acknowledgements(self, stream: AdsStream, name: str) -> None:
+        """Log a stream's NACKs, and tell the cache of ACKs and NACKs."""
+        for url, version, text in stream.nacked:
+            self.log(f"proxy {name} NACK {url.rsplit('.', 1)[-1]} {version[:12]}: {text}")
+        if stream.acked or stream.nacked:
             self.cache.handle_ack(self.clock(), name)
             self.changed.set()
-        session.nacked.clear()
-        session.acked.clear()
-
-    @staticmethod
-    def _parse(parse: Any, octets: bytes) -> Any:
-        try:
-            return parse.FromString(octets)
-        except Exception:  # protobuf's DecodeError and what its C core raises for deep nesting
-            raise StreamRejectedError("INVALID_ARGUMENT", "a request that is no DiscoveryRequest") from None
-
-
-def create_server(ads: AdsServer, address: str, reloader: CredentialsReloader | None) -> tuple[grpc.aio.Server, int]:
-    """A server bound to `address` (host:port), not started; the port. Raises OSError."""
-    made = grpc.aio.server(
-        options=[
-            ("grpc.max_receive_message_length", MAX_REQUEST_BYTES),
-            ("grpc.keepalive_time_ms", 10_000),
-            ("grpc.keepalive_timeout_ms", 5_000),
-            ("grpc.so_reuseport", 0),
-            ("grpc.max_concurrent_streams", 128),
-        ]
-    )
-    made.add_generic_rpc_handlers(
-        (
-            grpc.method_handlers_generic_handler(
-                ADS_SERVICE,
-                {
-                    "StreamAggregatedResources": grpc.stream_stream_rpc_method_handler(ads.state_of_the_world),
-                    "DeltaAggregatedResources": grpc.stream_stream_rpc_method_handler(ads.delta),
-                },
-            ),
-        )
-    )
-    try:
-        port = (
-            made.add_secure_port(address, server_credentials(reloader)) if reloader else made.add_insecure_port(address)
-        )
-    except RuntimeError as error:
-        raise OSError(f"can't listen on {address}: {error}") from None
-    if port == 0:
-        raise OSError(f"can't listen on {address}")
-    return made, port
-
+        stream.nacked.clear()
+        stream.acked.clear()
 
-def server_credentials(reloader: CredentialsReloader) -> grpc.ServerCredentials:
-    """Each new connection is offered the credentials in use then; streams that stand are left alone."""
 
-    def configuration() -> grpc.ServerCertificateConfiguration:
-        in_use = reloader.credentials
-        return grpc.ssl_server_certificate_configuration(
-            [(in_use.key, in_use.chain)], root_certificates=in_use.trusted_roots or None
-        )
-
-    def fetch() -> grpc.ServerCertificateConfiguration | None:
-        return configuration() if reloader.reload() else None
-
-    return grpc.dynamic_ssl_server_credentials(configuration(), fetch, bool(reloader.credentials.trusted_roots))
+def _parse(message_type: Any, data: bytes) -> Any:
+    try:
+        return message_type.FromString(data)
+    except Exception:  # protobuf's DecodeError, and what its C core raises for deep nesting
+        raise StreamRejectedError("INVALID_ARGUMENT", "a request that is no DiscoveryRequest") from None
--- a/brookreach/xds/config.py
+++ b/brookreach/xds/config.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from brookreach.files import InvalidFileError, convert_values, read_toml
-from brookreach.xds.ads_server import NodeIdPermissions
+from brookreach.xds.permissions import NodeIdPermissions
 
 Ms = Annotated[float, msgspec.Meta(ge=0.0, le=3_600_000.0)]
 
--- a/brookreach/xds/control_plane.py
+++ b/brookreach/xds/control_plane.py
@@ -16,8 +16,9 @@
 from brookreach.net.runtime import BalancerRuntime
 from brookreach.tls.reloader import CredentialsReloader
 from brookreach.xds import store
-from brookreach.xds.ads_server import AdsServer, create_server
+from brookreach.xds.ads_server import AdsServer
 from brookreach.xds.config import ControlFile, read_configuration
+from brookreach.xds.grpc_server import create_server
 from brookreach.xds.records import NodeAddress
 from brookreach.xds.snapshot_cache import SnapshotCache
 from brookreach.xds.view import balancer_view
