--- a/brookreach/simulation/xds/defects.py
+++ b/brookreach/simulation/xds/defects.py
@@ -6,7 +6,7 @@
 
 from brookreach import interface as ifc
 from brookreach.simulation.defect import Defect, Defects
-from brookreach.xds import assign, messages, resources, stream
+from brookreach.xds import assign, messages, resources, stream, trial_exposure
 from brookreach.xds.messages import CDS, EDS, LDS, RDS
 from brookreach.xds.records import NodeView
 
@@ -51,6 +51,6 @@
 DEFECTS: Defects = {
     "late-drain": Defect(assign, "endpoint_weight", _late_drain),
     "version-reused": Defect(resources, "make_resource", _reused),
-    "cap-not-divided": Defect(assign, "safe_trial_share", _undivided),
+    "cap-not-divided": Defect(trial_exposure, "safe_trial_share", _undivided),
     "routes-first": Defect(stream, "UPDATE_ORDER", lambda right: (RDS, EDS, LDS, CDS)),
 }
--- a/brookreach/xds/assign.py
+++ b/brookreach/xds/assign.py
@@ -1,16 +1,10 @@
-"""What proxies are told: a view of the module turned into assignments. No I/O, no clock, no chance.
-
-A proxy draws by itself for each RPC, so nobody counts its picks one by one as a marshal does. The rules are
-kept by what it is told: the trial build's share of a route, weights of endpoints, who is left out, what may
-be repeated.
-
-The trial share. Over a window all proxies together may have free + cap x N picks at the trial build, N the
-RPCs that they take. With a share p each, picks are binomial: about N p, and Z times its root by chance.
-N p + Z root(N p) <= free + cap N holds for every N, known or not, if p <= cap k / (1 + k), with
-k = 4 free / Z^2. Where N is known to be at least n, p may be larger: the root of the same with n, and never
-over the cap. A cap of 1 binds nobody. Repeats at a proxy stay in the cluster that the RPC was drawn for, so
-a route with a trial share has none: they would be further picks at the trial build, and further picks go to
-the earlier one.
+"""Turns a view of the balancer into what proxies are assigned. No I/O, no clock, no random draws.
+
+A proxy draws the cluster of each RPC by itself, so that its picks are not counted one by one as a balancer counts its
+own. The rules are kept by what is assigned: the trial build's share of a route (see `trial_exposure`), the weights of
+endpoints, the nodes left out, and what may be retried. Retries at a proxy stay in the cluster that the RPC was drawn
+for. A route with a trial share therefore has none: they would be further picks at the trial build, and further picks go
+to an earlier build.
 """
 
 from __future__ import annotations
@@ -31,59 +25,29 @@
     NodeView,
     ProxyLoad,
 )
+from brookreach.xds.trial_exposure import compensated_share, trial_share
 
-MAX_DEVIATIONS = 4.0  # of the normal: one window in 30,000 by chance, at the worst N
 EARLIER_CLUSTER = "earlier"
-
+"""The cluster of all builds that are not on trial."""
 
 SHARE_DENOMINATOR = 1_000_000
+MAX_WEIGHT = 1000
+EXCLUDING_DOUBT = 1.0
+DEGRADED_DOUBT = 0.5
+MIN_RATE_SHARE = 0.5
+"""The RPCs that come in a window are taken as at least this part of the last: they may halve within one."""
+
+RETRY_ON = ("connect-failure", "refused-stream", "reset", "5xx")
 
 
 def cluster_name(build: int, trial: bool) -> str:
+    """Return the name of a build's cluster."""
     return f"build-{build}" if trial else EARLIER_CLUSTER
 
 
-def safe_trial_share(cap: float, free: float, least: float) -> float:
-    """The share that keeps free + cap x N for all N of `least` RPCs a window and more, but for Z deviations.
-
-    Free picks of 0 leave a share only where enough RPCs are known to come.
-    """
-    if cap <= 0.0:
-        return 0.0
-    if cap >= 1.0:
-        return 1.0
-    k = 4.0 * free / (MAX_DEVIATIONS * MAX_DEVIATIONS)
-    share = cap * k / (1.0 + k)
-    if least > 0.0:
-        # N p + MAX_DEVIATIONS root(N p) = free + cap N at N = least, for root(N p).
-        room = free + cap * least
-        root = 0.5 * (math.sqrt(MAX_DEVIATIONS * MAX_DEVIATIONS + 4.0 * room) - MAX_DEVIATIONS)
-        more = root * root / least
-        # The tightest N for a share p is p (MAX_DEVIATIONS / 2 (cap - p))^2: it holds where that is under least.
-        if more < cap and MAX_DEVIATIONS * math.sqrt(more) <= 2.0 * (cap - more) * math.sqrt(least):
-            share = max(share, more)
-    return min(cap, share)
-
-
-def compensated_share(want: float, proxies: Mapping[str, ProxyLoad]) -> float:
-    """What proxies that are up to date may have, so that with what others may still use the whole is `want`.
-
-    A proxy that has not ACKed a lower share is taken at the largest that it was ever told since.
-    """
-    total = math.fsum(use.rpcs_per_s for use in proxies.values())
-    if want <= 0.0 or total <= 0.0:
-        return max(0.0, want)
-    behind = {name: use for name, use in proxies.items() if use.trial_shares and max(use.trial_shares) > want}
-    if not behind:
-        return want
-    used = math.fsum(use.rpcs_per_s * max(use.trial_shares) for use in behind.values())
-    rest = total - math.fsum(use.rpcs_per_s for use in behind.values())
-    return max(0.0, min(want, (want * total - used) / rest)) if rest > 0.0 else 0.0
-
-
 def endpoint_weight(view: NodeView, now: float, guards: ifc.SafetyLimits) -> float:
-    """What a node can do beside others: size and warmth, less with doubt and slowness; 0: not to be used."""
-    if view.entry.state != ifc.NodeState.READY or view.doubt >= 1.0:
+    """Return what a node can do beside others: its size and warmth, less for doubt and slowness; 0: don't use it."""
+    if view.entry.state != ifc.NodeState.READY or view.doubt >= EXCLUDING_DOUBT:
         return 0.0
     return view.entry.size * slow_start_factor(view.entry, now, guards) * (1.0 - view.doubt) / max(1.0, view.slow)
 
@@ -91,157 +55,155 @@
 def assign_cluster(
     name: str,
     nodes: Sequence[NodeView],
-    seats: Mapping[int, NodeAddress],
+    addresses: Mapping[int, NodeAddress],
     now: float,
     guards: ifc.SafetyLimits,
     rate: float,
-    asked: float,
+    load: float,
 ) -> ClusterAssignment:
-    """Endpoints by weight. `asked` is the cost a ms that the proxies send to this cluster.
-
-    Where even by weight a cold node would get over its part of the rule, the cluster refuses the rest: the
-    sum of what all proxies send it is bounded, whoever sends.
+    """Return the weighted endpoints of a cluster.
+
+    Where even by its weight a cold node would get more than it may, the cluster drops the excess by itself: that bounds
+    the sum of what all proxies send, whichever sends.
+
+    Args:
+        name: The cluster's name.
+        nodes: The nodes of its builds.
+        addresses: Where nodes listen; a node without an address is left out.
+        now: The time in ms.
+        guards: The limits for cold nodes.
+        rate: The cost a ms and unit of size that warm nodes carry.
+        load: The cost a ms that all proxies send to the cluster.
     """
-    able = [(view, endpoint_weight(view, now, guards)) for view in nodes if view.entry.node in seats]
-    used = [(view, weight) for view, weight in able if weight > 0.0]
-    if not used:  # better a sick node than none: but never one that drains or is gone
-        used = [
+    candidates = [(view, endpoint_weight(view, now, guards)) for view in nodes if view.entry.node in addresses]
+    weighted = [(view, weight) for view, weight in candidates if weight > 0.0]
+    if not weighted:  # shunned nodes are better than none, but never ones that drain or are gone
+        weighted = [
             (view, view.entry.size * slow_start_factor(view.entry, now, guards))
-            for view, _ in able
+            for view, _ in candidates
             if view.entry.state == ifc.NodeState.READY
         ]
-    total = math.fsum(weight for _, weight in used)
-    top = max((weight for _, weight in used), default=1.0)
+    total = math.fsum(weight for _, weight in weighted)
+    largest = max((weight for _, weight in weighted), default=1.0)
     endpoints = []
-    shed = 0.0
-    for view, weight in sorted(
-        used, key=lambda pair: (seats[pair[0].entry.node].address, seats[pair[0].entry.node].port)
-    ):
-        seat = seats[view.entry.node]
+    drop_share = 0.0
+    for view, weight in sorted(weighted, key=lambda pair: _socket_address(addresses[pair[0].entry.node])):
+        address = addresses[view.entry.node]
+        relative_weight = max(1, min(MAX_WEIGHT, round(MAX_WEIGHT * weight / largest)))
+        is_degraded = view.doubt >= DEGRADED_DOUBT
         endpoints.append(
-            Endpoint(
-                seat.node,
-                seat.address,
-                seat.port,
-                view.entry.zone,
-                max(1, min(1000, round(1000.0 * weight / top))),
-                view.doubt >= 0.5,
-            )
+            Endpoint(address.node, address.address, address.port, view.entry.zone, relative_weight, is_degraded)
         )
-        warm = slow_start_factor(view.entry, now, guards)
-        if warm < 1.0 and rate > 0.0 and asked > 0.0:
-            room = SLOW_START_SHARE * guards.fall_multiple * warm * rate * view.entry.size
-            gets = asked * weight / total
-            shed = max(shed, 1.0 - room / gets if gets > room else 0.0)
-    return ClusterAssignment(name, tuple(endpoints), min(1.0, shed))
+        warm_share = slow_start_factor(view.entry, now, guards)
+        if warm_share < 1.0 and rate > 0.0 and load > 0.0:
+            allowed = SLOW_START_SHARE * guards.fall_multiple * warm_share * rate * view.entry.size
+            received = load * weight / total
+            drop_share = max(drop_share, 1.0 - allowed / received if received > allowed else 0.0)
+    return ClusterAssignment(name, tuple(endpoints), min(1.0, drop_share))
+
+
+def _socket_address(address: NodeAddress) -> tuple[str, int]:
+    return address.address, address.port
 
 
 def retries_of(method: ifc.Method, permits: ifc.AllowedActions) -> tuple[int, tuple[str, ...], float]:
-    """Further picks at a proxy, on what, and the time of one pick.
+    """Return the retries of a method at proxies, on which failures, and the timeout of one pick in ms.
 
-    Non-idempotent: none, ever: a proxy's proof that a pick never ran is not ours. Tokened: within its window
-    and only where all nodes drop its repeats, since a proxy chooses the next node by itself.
+    A non-idempotent method is never retried: that a pick never ran is shown to the proxy only, not to us. A tokened one
+    is retried within its window, and only where all nodes recognise its repeats, since a proxy chooses the next node by
+    itself.
     """
-    most = max(0, permits.max_picks - 1)
-    if method.repeat == ifc.Idempotency.NON_IDEMPOTENT or most == 0:
+    max_retries = max(0, permits.max_picks - 1)
+    if method.repeat == ifc.Idempotency.NON_IDEMPOTENT or max_retries == 0:
         return 0, (), method.hard_ms
-    on: tuple[str, ...] = ("connect-failure", "refused-stream", "reset", "5xx")
     if method.repeat == ifc.Idempotency.TOKENED:
         if method.group != ifc.DedupScope.ALL or method.token_ms <= 0.0:
             return 0, (), method.hard_ms
-        # All picks begin within the window: so many of one pick's time fit before it.
-        each = min(method.soft_ms, method.token_ms / (most + 1))
-        return min(most, int(method.hard_ms // max(1.0, each)) - 1 if each < method.hard_ms else 0), on, each
-    each = min(method.soft_ms, method.hard_ms / (most + 1))
-    return most, on, each
-
-
-def trial_share(
-    method: ifc.Method, start: ifc.BalancerSettings, news: ifc.RolloutStatus | None, build: int, least: float
-) -> float:
-    """The share of one route that the build on trial may have before others' use is taken off."""
-    if news is None or news.phase in (ifc.RolloutPhase.GOING_BACK, ifc.RolloutPhase.WITHDRAWN):
-        return 0.0
-    stage, cap = (news.stage, news.cap) if build == news.build else (0, (start.exposure.caps or (0.0,))[0])
-    if stage < start.exposure.closed_stages and method.repeat != ifc.Idempotency.IDEMPOTENT:
-        return 0.0
-    if start.exposure.one_way:
-        return 0.0  # which keys have been answered by the new build is not known at proxies
-    # Counted by method, each has its own free picks and a part of the RPCs that is not known.
-    one_count = not start.exposure.by_method or len(start.methods) == 1
-    return safe_trial_share(cap, start.exposure.free, least if one_count else 0.0)
+        # All picks have to begin within the window: as many as fit into it one after the other.
+        pick_ms = min(method.soft_ms, method.token_ms / (max_retries + 1))
+        fitting = int(method.hard_ms // max(1.0, pick_ms)) - 1 if pick_ms < method.hard_ms else 0
+        return min(max_retries, fitting), RETRY_ON, pick_ms
+    pick_ms = min(method.soft_ms, method.hard_ms / (max_retries + 1))
+    return max_retries, RETRY_ON, pick_ms
 
 
 def assign(
     view: BalancerView,
     start: ifc.BalancerSettings,
-    seats: Mapping[int, NodeAddress],
+    addresses: Mapping[int, NodeAddress],
     proxies: Mapping[str, ProxyLoad],
     cost: float = 1.0,
 ) -> Assignment:
-    """The assignment of an up-to-date proxy. `cost` is the mean cost of an RPC in the module's units."""
-    builds: dict[int, list[NodeView]] = {}
+    """Return the assignment of an up-to-date proxy.
+
+    Args:
+        view: What the balancer knows.
+        start: The balancer's settings.
+        addresses: Where nodes listen; a node without an address is left out.
+        proxies: All proxies that may still route.
+        cost: The mean cost of an RPC, in the balancer's units.
+    """
+    nodes_by_build: dict[int, list[NodeView]] = {}  # 0: all builds that are not on trial
     for node in view.nodes:
         build = node.entry.build if is_candidate(view.news, node.entry.build) else 0
-        builds.setdefault(build, []).append(node)
-    total = math.fsum(use.rpcs_per_s for use in proxies.values())
-    least = 0.5 * total * start.exposure.window_ms / 1000.0  # what they took may halve within a window
-    sets: dict[int, ClusterAssignment] = {}
+        nodes_by_build.setdefault(build, []).append(node)
+    total = math.fsum(proxy.rpcs_per_s for proxy in proxies.values())
+    min_rpcs = MIN_RATE_SHARE * total * start.exposure.window_ms / 1000.0
+    clusters: dict[int, ClusterAssignment] = {}
     routes = []
     shares: dict[str, dict[int, float]] = {}
     for method in start.methods:
         shares[method.name] = {
-            build: compensated_share(trial_share(method, start, view.news, build, least), proxies)
-            for build in builds
+            build: compensated_share(trial_share(method, start, view.news, build, min_rpcs), proxies)
+            for build in nodes_by_build
             if build and view.fresh
         }
-    for build, nodes in sorted(builds.items()):
+    for build, nodes in sorted(nodes_by_build.items()):
         name = cluster_name(build, build != 0)
-        part = max((own.get(build, 0.0) for own in shares.values()), default=0.0) if build else 1.0
-        sets[build] = assign_cluster(
-            name, nodes, seats, view.at_ms, start.guards, view.rate, total * part * cost / 1000.0
-        )
-    earlier = sets.get(0, ClusterAssignment(EARLIER_CLUSTER, ()))
+        share = max((by_build.get(build, 0.0) for by_build in shares.values()), default=0.0) if build else 1.0
+        load = total * share * cost / 1000.0
+        clusters[build] = assign_cluster(name, nodes, addresses, view.at_ms, start.guards, view.rate, load)
+    earlier = clusters.get(0, ClusterAssignment(EARLIER_CLUSTER, ()))
     for method in start.methods:
-        repeats, on, each = retries_of(method, start.permits)
-        parts = []
-        for build, share in shares[method.name].items():
-            if sets[build].endpoints and share > 0.0:
-                parts.append((sets[build].name, int(share * SHARE_DENOMINATOR)))
-        if parts:
-            repeats, on, each = 0, (), method.hard_ms
-        parts = _whole(parts, bool(earlier.endpoints))
-        routes.append(MethodRoute(method.name, tuple(parts), method.hard_ms, each, repeats, on))
-    kept = [earlier, *(one for build, one in sorted(sets.items()) if build)]
-    return Assignment(tuple(kept), tuple(routes))
-
-
-def _whole(parts: list[tuple[str, int]], earlier: bool) -> list[tuple[str, int]]:
-    """Shares adding up to a million; the earlier builds have the rest.
-
-    Without an earlier node the rest goes to it all the same, and is refused there: the cap is a rule, an
-    answer isn't.
+        trial_clusters = [
+            (clusters[build].name, int(share * SHARE_DENOMINATOR))
+            for build, share in shares[method.name].items()
+            if clusters[build].endpoints and share > 0.0
+        ]
+        max_retries, retry_on, pick_ms = retries_of(method, start.permits)
+        if trial_clusters:
+            max_retries, retry_on, pick_ms = 0, (), method.hard_ms
+        weighted = tuple(_complete_shares(trial_clusters, bool(earlier.endpoints)))
+        routes.append(MethodRoute(method.name, weighted, method.hard_ms, pick_ms, max_retries, retry_on))
+    on_trial_clusters = [cluster for build, cluster in sorted(clusters.items()) if build]
+    return Assignment((earlier, *on_trial_clusters), tuple(routes))
+
+
+def _complete_shares(trial_clusters: list[tuple[str, int]], has_earlier: bool) -> list[tuple[str, int]]:
+    """Return shares that add up to `SHARE_DENOMINATOR`; the earlier builds get the rest.
+
+    They get it even without a node, and it is refused there: the cap is a rule, an answer is not.
     """
-    over = sum(share for _, share in parts)
-    if over > SHARE_DENOMINATOR:
-        parts = [(name, share * SHARE_DENOMINATOR // over) for name, share in parts]
-    rest = SHARE_DENOMINATOR - sum(share for _, share in parts)
-    if not rest and not earlier:
-        return parts
-    return [(EARLIER_CLUSTER, rest), *((name, share) for name, share in parts if share > 0)]
+    total = sum(share for _, share in trial_clusters)
+    if total > SHARE_DENOMINATOR:
+        trial_clusters = [(name, share * SHARE_DENOMINATOR // total) for name, share in trial_clusters]
+    rest = SHARE_DENOMINATOR - sum(share for _, share in trial_clusters)
+    if not rest and not has_earlier:
+        return trial_clusters
+    return [(EARLIER_CLUSTER, rest), *((name, share) for name, share in trial_clusters if share > 0)]
 
 
 def removed_nodes(before: Assignment, after: Assignment) -> set[int]:
-    """Nodes that were assigned and are no longer: such a change waits for nothing."""
+    """Return the nodes that are no longer assigned; such a change is not delayed."""
 
-    def nodes(one: Assignment) -> set[int]:
-        return {end.node for cluster in one.clusters for end in cluster.endpoints}
+    def nodes(assignment: Assignment) -> set[int]:
+        return {endpoint.node for cluster in assignment.clusters for endpoint in cluster.endpoints}
 
     return nodes(before) - nodes(after)
 
 
 def is_urgent(before: Assignment | None, after: Assignment) -> bool:
-    """Drains and falling trial shares go out at once; warmth and weights may be merged."""
+    """Return whether a change has to be sent at once: drains and falling trial shares; warmth and weights can wait."""
     if before is None or removed_nodes(before, after):
         return True
     old = {(route.method, name): share for route in before.routes for name, share in route.weighted_clusters}
