--- a/brookreach/xds/__init__.py
+++ b/brookreach/xds/__init__.py
@@ -1,6 +1,6 @@
-"""Control via xDS: the module's decisions given to proxies that are not ours.
+"""Control plane for proxies of other make: gives them the balancer's decisions by xDS.
 
-It owns what a view of the module becomes at proxies (assignments), the protocol's side of a stream, versions
-and what lasts over a restart, and the reading of load reports. It must never route an RPC, judge a build, or
-change what the module decided; a marshal started by the platform's `run` imports none of it.
+The package owns the assignments that a view of the balancer becomes, the server's side of the discovery protocol,
+versions, what is stored over a restart, and the use of load reports. It must never route an RPC, judge a build or
+change what the balancer decided. A balancer that the platform starts by `run` imports none of it.
 """
--- a/brookreach/xds/view.py
+++ b/brookreach/xds/view.py
@@ -1,4 +1,4 @@
-"""The module's state as a view: what it knows of nodes, and the news it stands by. It changes nothing."""
+"""Reads a view of the nodes and the rollout from the balancer's state. It changes nothing."""
 
 from __future__ import annotations
 
@@ -6,16 +6,25 @@
 from brookreach.policy.balancer import Balancer
 from brookreach.xds.records import BalancerView, NodeView
 
+SHUNNED_DOUBT = 1.0
+MAX_USABLE_DOUBT = 0.9
+"""Doubt of a node whose evidence is just short of having it shunned."""
+
+NORMAL_SLOWNESS = 1.0
+
 
 def balancer_view(marshal: Balancer, now: float) -> BalancerView:
-    """A shunned node has a doubt of 1; one with odds against it, a part of it."""
+    """Return the view at a time: a shunned node has a doubt of 1, one with evidence against it a part of it."""
     desk = marshal.request_router
     nodes = []
     for node in desk.nodes.values():
-        doubt = 1.0 if now < node.shy_until else min(0.9, 0.9 * node.doubt / node.most_doubt)
-        # Before its first answers a cold node's slowness is a guess of the module's own placing.
-        slow = node.slow if node.tried else 1.0
+        if now < node.shy_until:
+            doubt = SHUNNED_DOUBT
+        else:
+            doubt = min(MAX_USABLE_DOUBT, MAX_USABLE_DOUBT * node.doubt / node.most_doubt)
+        # Before the first answers a cold node's slowness is a guess that only serves the balancer's own picks.
+        slow = node.slow if node.tried else NORMAL_SLOWNESS
         nodes.append(NodeView(node.entry, doubt, slow))
-    nodes.sort(key=lambda one: one.entry.node)
+    nodes.sort(key=lambda view: view.entry.node)
     news: ifc.RolloutStatus | None = desk.news
     return BalancerView(now, news, tuple(nodes), desk.rate)
