--- a/brookreach/tls/__init__.py
+++ b/brookreach/tls/__init__.py
@@ -1,5 +1,5 @@
-"""TLS credentials that are replaced in service.
+"""TLS credentials that can be replaced while a server runs.
 
-The package owns reading a certificate chain and its key from files, the checks that make them fit for use, and which
-of them are in use. It must never log a key, nor replace valid credentials by invalid ones.
+The package reads a certificate chain and its key from files, verifies them, and holds those in use. It must never log a
+key, nor replace valid credentials by invalid ones.
 """
--- a/brookreach/tls/credentials.py
+++ b/brookreach/tls/credentials.py
@@ -20,14 +20,14 @@
 
 @dataclass(frozen=True)
 class Credentials:
-    """Verified credentials in PEM. `key` is never shown.
+    """Verified credentials in PEM. Their representation leaves the key out, so that it can be logged.
 
     Attributes:
         chain: The certificate and those that issued it, in order.
-        key: Of the certificate.
-        trusted_roots: By which peers' certificates are verified; empty: peers present none.
-        serial: Of the certificate, in hex.
-        names: That the certificate is valid for.
+        key: The certificate's private key.
+        trusted_roots: Verify the certificates of peers; empty where peers need none.
+        serial: The certificate's serial number in hex.
+        names: The DNS names and addresses that the certificate is valid for.
         expires_at: When the first certificate of the chain expires.
     """
 
@@ -43,22 +43,22 @@
         return f"Credentials(serial {self.serial}, names {', '.join(self.names)}, expires {expiry})"
 
     def days_left(self, now: dt.datetime) -> float:
-        """Returns the days until they expire."""
+        """Return the days until they expire."""
         return (self.expires_at - now).total_seconds() / SECONDS_PER_DAY
 
 
 def verify_credentials(chain: bytes, key: bytes, trusted_roots: bytes, now: dt.datetime, name: str = "") -> Credentials:
-    """Returns the credentials if they fit together and are valid now.
+    """Return the credentials if they fit together and are valid at a time.
 
     Args:
         chain: PEM certificates, each issued by the next.
         key: The first certificate's, in PEM without a password.
         trusted_roots: PEM certificates; empty: none.
-        now: The time to verify them for.
-        name: That the certificate has to be valid for; "": any.
+        now: The time.
+        name: A name that the certificate has to be valid for; empty for any.
 
     Raises:
-        InvalidCredentialsError: If anything of them can't be used.
+        InvalidCredentialsError: One of them can't be read, is expired or doesn't fit the others.
     """
     for kind, pem in (("certificate", chain), ("key", key), ("trusted", trusted_roots)):
         if len(pem) > MAX_PEM_BYTES:
@@ -73,7 +73,7 @@
     if trusted_roots:
         _load_certificates("trusted", trusted_roots)
     _check_chain(certificates)
-    expires_at = min(one.not_valid_after_utc for one in certificates)
+    expires_at = min(member.not_valid_after_utc for member in certificates)
     return Credentials(chain, key, trusted_roots, f"{certificate.serial_number:x}", names, expires_at)
 
 
@@ -87,7 +87,7 @@
 def _load_key(pem: bytes) -> PrivateKeyTypes:
     try:
         return load_pem_private_key(pem, None)
-    except (ValueError, TypeError, UnsupportedAlgorithm):  # without the cause, which may quote the key
+    except (ValueError, TypeError, UnsupportedAlgorithm):  # the cause is left out: it may quote the key
         raise InvalidCredentialsError("key: no unencrypted PEM key can be read") from None
 
 
@@ -113,7 +113,7 @@
 
 
 def _subject_names(certificate: x509.Certificate) -> tuple[str, ...]:
-    """Returns the DNS names and addresses of the subject's alternative names."""
+    """Return the DNS names and addresses of the subject's alternative names."""
     try:
         alternatives = certificate.extensions.get_extension_for_class(x509.SubjectAlternativeName).value
     except x509.ExtensionNotFound:
@@ -123,7 +123,7 @@
 
 
 def _matches(pattern: str, name: str) -> bool:
-    """Returns whether a certificate's name covers `name`; a star stands for the first label."""
+    """Return whether a certificate's name covers another; a star stands for the first label."""
     pattern = pattern.lower()
     name = name.lower()
     if pattern == name:
--- a/brookreach/tls/errors.py
+++ b/brookreach/tls/errors.py
@@ -8,4 +8,4 @@
 
 
 class InvalidCredentialsError(TlsError, ValueError):
-    """Why credentials can't be used; its text never holds anything of a key."""
+    """The credentials can't be used; the text says why and never quotes a key."""
--- a/brookreach/tls/reloader.py
+++ b/brookreach/tls/reloader.py
@@ -1,4 +1,4 @@
-"""Credentials in use, read anew from their files when these change."""
+"""The credentials in use, read again when their files change."""
 
 from __future__ import annotations
 
@@ -10,23 +10,25 @@
 from brookreach.tls.errors import InvalidCredentialsError
 
 FileStamp = tuple[int, int]
-"""Time of modification in ns, and size."""
+"""The time of modification in ns, and the size in bytes."""
+
+NO_FILE: FileStamp = (0, 0)
+"""No file is configured."""
 
-NO_FILE: FileStamp = (0, 0)  # none is configured
 UNREADABLE: FileStamp = (-1, -1)
 
 
 def utc_now() -> dt.datetime:
-    """Returns the time of day."""
+    """Return the time of day in UTC."""
     return dt.datetime.now(dt.UTC)
 
 
 class CredentialsReloader:
-    """The credentials in use. Invalid files leave them as they are, with one line of log.
+    """Reads credentials from files. Invalid files leave those in use as they are, and are logged once.
 
     Attributes:
         credentials: Those in use.
-        now: The clock.
+        now: Gives the time of day in UTC.
     """
 
     def __init__(
@@ -38,7 +40,19 @@
         log: Callable[[str], None],
         now: Callable[[], dt.datetime] = utc_now,
     ) -> None:
-        """Reads the first credentials; raises InvalidCredentialsError, since nothing can start without any."""
+        """Read the first credentials.
+
+        Args:
+            certificate: The file of the certificate chain.
+            key: The file of its key.
+            trusted_roots: The file of the roots for peers' certificates; None where peers need none.
+            name: A name that the certificate has to be valid for; empty for any.
+            log: Takes one line.
+            now: Gives the time of day in UTC.
+
+        Raises:
+            InvalidCredentialsError: They can't be used; nothing can start without any.
+        """
         self._certificate = certificate
         self._key = key
         self._trusted_roots = trusted_roots
@@ -50,9 +64,9 @@
         self.credentials = self._read()
 
     def reload(self) -> bool:
-        """Reads the files if they have changed; returns whether other credentials are in use now.
+        """Read the files if they have changed; return whether other credentials are in use now.
 
-        It may be called from any thread, as often as one likes.
+        It may be called from any thread. It is cheap while the files stay the same, except after an error.
         """
         stamps = self._file_stamps()
         if stamps == self._stamps and not self._last_error:
@@ -71,7 +85,7 @@
         return True
 
     def _log_rejected(self, error: str) -> None:
-        """Logs each error once."""
+        """Log an error unless it is the same as the last."""
         if error != self._last_error:
             self._last_error = error
             self._log(f"new pair not taken, serial {self.credentials.serial} stays: {error}")
