--- a/brookreach/cli/xds.py
+++ b/brookreach/cli/xds.py
@@ -1,4 +1,4 @@
-"""`brookreach xds serve FILE`: the control service."""
+"""`brookreach xds serve FILE`: the xDS control plane."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     from brookreach.xds.control_plane import ControlPlane
 
     try:
-        service = ControlPlane(file, read_configuration(file), partial(writer, log))
-        anyio.run(service.run)
+        control_plane = ControlPlane(file, read_configuration(file), partial(writer, log))
+        anyio.run(control_plane.run)
     except (StartupError, InvalidFileError, InvalidCredentialsError, OSError) as error:
         raise click.ClickException(str(error)) from None
