--- a/brookreach/xds/assign.py
+++ b/brookreach/xds/assign.py
@@ -46,7 +46,7 @@
 
 
 def endpoint_weight(view: NodeView, now: float, guards: ifc.SafetyLimits) -> float:
-    """Return what a node can do beside others: its size and warmth, less for doubt and slowness; 0: don't use it."""
+    """Return what a node can do beside others: its size and slow start, less for doubt and slowness; 0: none."""
     if view.entry.state != ifc.NodeState.READY or view.doubt >= EXCLUDING_DOUBT:
         return 0.0
     return view.entry.size * slow_start_factor(view.entry, now, guards) * (1.0 - view.doubt) / max(1.0, view.slow)
@@ -94,9 +94,9 @@
         endpoints.append(
             Endpoint(address.node, address.address, address.port, view.entry.zone, relative_weight, is_degraded)
         )
-        warm_share = slow_start_factor(view.entry, now, guards)
-        if warm_share < 1.0 and rate > 0.0 and load > 0.0:
-            allowed = SLOW_START_SHARE * guards.fall_multiple * warm_share * rate * view.entry.size
+        slow_start = slow_start_factor(view.entry, now, guards)
+        if slow_start < 1.0 and rate > 0.0 and load > 0.0:
+            allowed = SLOW_START_SHARE * guards.fall_multiple * slow_start * rate * view.entry.size
             received = load * weight / total
             drop_share = max(drop_share, 1.0 - allowed / received if received > allowed else 0.0)
     return ClusterAssignment(name, tuple(endpoints), min(1.0, drop_share))
@@ -203,7 +203,7 @@
 
 
 def is_urgent(before: Assignment | None, after: Assignment) -> bool:
-    """Return whether a change has to be sent at once: drains and falling trial shares; warmth and weights can wait."""
+    """Return whether a change has to be sent at once: drains and falling trial shares; weights can wait."""
     if before is None or removed_nodes(before, after):
         return True
     old = {(route.method, name): share for route in before.routes for name, share in route.weighted_clusters}
--- a/brookreach/xds/view.py
+++ b/brookreach/xds/view.py
@@ -13,11 +13,11 @@
 NORMAL_SLOWNESS = 1.0
 
 
-def balancer_view(marshal: Balancer, now: float) -> BalancerView:
+def balancer_view(balancer: Balancer, now: float) -> BalancerView:
     """Return the view at a time: a shunned node has a doubt of 1, one with evidence against it a part of it."""
-    desk = marshal.request_router
+    router = balancer.request_router
     nodes = []
-    for node in desk.nodes.values():
+    for node in router.nodes.values():
         if now < node.shy_until:
             doubt = SHUNNED_DOUBT
         else:
@@ -26,5 +26,5 @@
         slow = node.slow if node.tried else NORMAL_SLOWNESS
         nodes.append(NodeView(node.entry, doubt, slow))
     nodes.sort(key=lambda view: view.entry.node)
-    news: ifc.RolloutStatus | None = desk.news
-    return BalancerView(now, news, tuple(nodes), desk.rate)
+    news: ifc.RolloutStatus | None = router.news
+    return BalancerView(now, news, tuple(nodes), router.rate)
