--- a/brookreach/cli/capacity.py
+++ b/brookreach/cli/capacity.py
@@ -1,4 +1,4 @@
-"""`brookreach capacity FILE`: what a fleet of these sizes costs each role, beside its budget."""
+"""`brookreach capacity FILE`: what a fleet of given sizes costs each role, beside its budget."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 import click
 
-from brookreach.cli.main import out
+from brookreach.cli.main import print_result
 
-BAD_FILE = 2  # the exit code
+INVALID_FILE_EXIT_CODE = 2
 
 
 @click.command()
@@ -32,23 +32,27 @@
     if sum((markdown, as_json, page is not None)) > 1:
         raise click.UsageError("--markdown, --json and --page: one of them is allowed")
     try:
-        found = read.capacity(file, read_toml(file))
+        plan = read.capacity(file, read_toml(file))
     except InvalidFileError as error:
         click.echo(str(error), err=True)
-        raise SystemExit(BAD_FILE) from None
-    found = arithmetic.with_sizes(found, _sizes(changed, list(found.size)))
+        raise SystemExit(INVALID_FILE_EXIT_CODE) from None
+    plan = arithmetic.with_sizes(plan, _parse_sizes(changed, list(plan.size)))
     if page is not None:
-        _write(page, table.page(found, role))
+        _embed_tables(page, table.page(plan, role))
         return
     if markdown:
-        click.echo(table.page(found, role))
+        click.echo(table.page(plan, role))
         return
-    rows = [row for row in arithmetic.rows_of(found) if role in (None, row.role)]
-    out(as_json, {"figures": [_told(row) for row in rows]}, lambda: table.lines(rows))
+    rows = [row for row in arithmetic.rows_of(plan) if role in (None, row.role)]
+    print_result(as_json, {"figures": [_row_values(row) for row in rows]}, lambda: table.lines(rows))
 
 
-def _write(page: Path, tables: str) -> None:
-    """Replaces what stands between the page's markers; raises ClickException, and then the page is as it was."""
+def _embed_tables(page: Path, tables: str) -> None:
+    """Replace what stands between a page's markers.
+
+    Raises:
+        ClickException: The page can't be read or written, or has no markers; it is as it was.
+    """
     from brookreach.capacity import table
     from brookreach.files import replace_file
 
@@ -60,8 +64,12 @@
     click.echo(str(page))
 
 
-def _sizes(changed: tuple[str, ...], known: list[str]) -> dict[str, float]:
-    """What --set asks for; raises UsageError."""
+def _parse_sizes(changed: tuple[str, ...], known: list[str]) -> dict[str, float]:
+    """Return the sizes that --set gives, by name.
+
+    Raises:
+        UsageError: One of them is not known, or its value not allowed.
+    """
     import msgspec
 
     from brookreach.capacity.model import Number
@@ -78,5 +86,5 @@
     return sizes
 
 
-def _told(row: Any) -> dict[str, Any]:
+def _row_values(row: Any) -> dict[str, Any]:  # any: the module of rows is imported only by the command
     return asdict(row) | {"ratio": row.ratio}
--- a/brookreach/cli/check.py
+++ b/brookreach/cli/check.py
@@ -1,4 +1,4 @@
-"""`brookreach check`: any of our files, without starting anything."""
+"""`brookreach check`: reads any file of the program without starting anything."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import click
 
-from brookreach.cli.main import out
+from brookreach.cli.main import print_result
 
 
 @click.command()
@@ -16,16 +16,17 @@
 def check(file: Path, show: bool, as_json: bool) -> None:
     """Read FILE as what its ending and content say, and name all that is wrong in it."""
     from brookreach.cli import files
+    from brookreach.files import InvalidFileError
 
     try:
-        kind, told = files.read(file)
-    except files.InvalidFileError as error:
+        kind, values = files.read_file(file)
+    except InvalidFileError as error:
         errors = error.errors
-        out(as_json, {"file": str(file), "good": False, "errors": errors}, lambda: "\n".join(errors))
+        print_result(as_json, {"file": str(file), "good": False, "errors": errors}, lambda: "\n".join(errors))
         raise SystemExit(1) from None
-    shown = f"\n{files.text(told)}" if show else ""
-    out(
+    value_lines = f"\n{files.format_values(values)}" if show else ""
+    print_result(
         as_json,
-        {"file": str(file), "good": True, "kind": kind, **({"values": told} if show else {})},
-        lambda: f"{file}: good, {kind}{shown}",
+        {"file": str(file), "good": True, "kind": kind, **({"values": values} if show else {})},
+        lambda: f"{file}: good, {kind}{value_lines}",
     )
--- a/brookreach/cli/fleet.py
+++ b/brookreach/cli/fleet.py
@@ -10,7 +10,7 @@
 import click
 
 from brookreach.cli.fleet_ask import ask
-from brookreach.cli.main import out
+from brookreach.cli.main import print_result
 from brookreach.cli.operator_session import FILE_PATH, WAIT_OPTION, OperatorSession, report_errors
 
 if TYPE_CHECKING:
@@ -48,11 +48,11 @@
 def keep(file: Path, keeper: str, log: str) -> None:
     """Run one keeper until SIGTERM."""
     from brookreach.applications import load_applications
-    from brookreach.cli.structured import writer
+    from brookreach.cli.structured import select_writer
     from brookreach.coordination.server.process import run_replica
     from brookreach.net.report import Report
 
-    report = Report(keeper, LOG_LINES_PER_SECOND, writer(log, keeper))
+    report = Report(keeper, LOG_LINES_PER_SECOND, select_writer(log, keeper))
     sys.exit(run_replica(file, keeper, load_applications(), report.log))
 
 
@@ -155,7 +155,7 @@
 def show(file: Path, as_json: bool, wait: float) -> None:
     """Print what is agreed."""
     state = OperatorSession(file, wait).run(_read_state)
-    out(as_json, state, lambda: _format_state(state))
+    print_result(as_json, state, lambda: _format_state(state))
 
 
 async def _read_state(client: OneShotClient) -> dict[str, Any]:
--- a/brookreach/cli/lazy.py
+++ b/brookreach/cli/lazy.py
@@ -11,19 +11,28 @@
 
 
 class LazyGroup(click.Group):
-    """A group of commands by the place that each is imported from, as `package.module:attribute`.
+    """A group whose commands are named by where they are imported from.
 
     A command whose module is not installed is neither listed nor found.
+
+    Attributes:
+        lazy_commands: By command: its place, as `package.module:attribute`.
     """
 
     def __init__(self, *args: Any, lazy_commands: Mapping[str, str], **settings: Any) -> None:
         super().__init__(*args, **settings)
         self.lazy_commands = lazy_commands
 
-    def list_commands(self, context: click.Context) -> list[str]:
+    def list_commands(self, _context: click.Context) -> list[str]:
+        """Return the names of the commands whose modules are installed."""
         return [name for name in self.lazy_commands if self._installed(name)]
 
-    def get_command(self, context: click.Context, name: str) -> click.Command | None:
+    def get_command(self, _context: click.Context, name: str) -> click.Command | None:
+        """Import a command; return None if there is no such command.
+
+        Raises:
+            ClickException: A library that it needs is not installed.
+        """
         if not self._installed(name):
             return None
         module, attribute = self.lazy_commands[name].split(":")
--- a/brookreach/cli/main.py
+++ b/brookreach/cli/main.py
@@ -1,4 +1,4 @@
-"""`brookreach`: the group that all commands hang from."""
+"""`brookreach`: the root group of all commands, and how they print."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from brookreach.cli.lazy import LazyGroup
 
-FAMILIES = {
+COMMANDS = {
     "run": "brookreach.cli.run:run",
     "site": "brookreach.cli.site:site",
     "check": "brookreach.cli.check:check",
@@ -27,41 +27,54 @@
 }
 
 
-@click.group(cls=LazyGroup, lazy_commands=FAMILIES, context_settings={"help_option_names": ["-h", "--help"]})
+@click.group(cls=LazyGroup, lazy_commands=COMMANDS, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="brookreach", message="%(prog)s %(version)s")
 def main() -> None:
-    """An RPC router that judges new builds while it routes: the marshal, its plans, records, experiments,
-    drills.
+    """An RPC router that judges new builds while it routes: the marshal, its plans, records, experiments, drills.
 
     `python -m brookreach` without a word starts the marshal, as the platform does.
     """
 
 
-def out(as_json: bool, told: Mapping[str, Any], text: Callable[[], str]) -> None:
-    """One object and nothing else with --json, else lines for people."""
-    click.echo(json.dumps(finite(told), sort_keys=True, allow_nan=False) if as_json else text())
+def print_result(as_json: bool, values: Mapping[str, Any], text: Callable[[], str]) -> None:
+    """Print one JSON object and nothing else, or lines for people.
 
+    Args:
+        as_json: Whether --json was given.
+        values: The object; any: each command has its own.
+        text: Gives the lines; called only if they are printed.
+    """
+    click.echo(json.dumps(replace_non_finite(values), sort_keys=True, allow_nan=False) if as_json else text())
+
+
+def replace_non_finite(value: Any) -> Any:
+    """Return a value with None in place of infinities and NaN, which JSON doesn't know; keys become strings."""
+    if isinstance(value, Mapping):
+        return {str(key): replace_non_finite(item) for key, item in value.items()}
+    if isinstance(value, list | tuple):
+        return [replace_non_finite(item) for item in value]
+    return None if isinstance(value, float) and not math.isfinite(value) else value
 
-def finite(told: Any) -> Any:
-    """JSON knows no infinity: null stands for what has no figure."""
-    if isinstance(told, Mapping):
-        return {str(key): finite(value) for key, value in told.items()}
-    if isinstance(told, list | tuple):
-        return [finite(value) for value in told]
-    return None if isinstance(told, float) and not math.isfinite(told) else told
 
+def progress_printer(label: str, as_json: bool) -> Callable[[int, int], None]:
+    """Return a function that prints progress on standard error; with --json it prints nothing.
 
-def progress(label: str, as_json: bool) -> Callable[[int, int], None]:
-    """A line that is written over on a terminal, a plain line at each tenth elsewhere; on standard error."""
-    last = [-1]
+    On a terminal a line is overwritten, elsewhere there is a line for each tenth.
+
+    Args:
+        label: What is going on.
+        as_json: Whether --json was given.
+    """
+    last_tenth = -1
 
-    def tell(done: int, of: int) -> None:
+    def print_progress(done: int, total: int) -> None:
+        nonlocal last_tenth
         if as_json:
             return
         if sys.stderr.isatty():
-            click.echo(f"\r{label} {done} of {of}", nl=done == of, err=True)
-        elif of and done * 10 // of != last[0]:
-            last[0] = done * 10 // of
-            click.echo(f"{label} {done} of {of}", err=True)
+            click.echo(f"\r{label} {done} of {total}", nl=done == total, err=True)
+        elif total and done * 10 // total != last_tenth:
+            last_tenth = done * 10 // total
+            click.echo(f"{label} {done} of {total}", err=True)
 
-    return tell
+    return print_progress
--- a/brookreach/cli/run.py
+++ b/brookreach/cli/run.py
@@ -1,6 +1,4 @@
-"""`brookreach run`: one marshal in the foreground, as the platform starts it, with what the platform doesn't
-ask.
-"""
+"""`brookreach run`: one balancer in the foreground, as the platform starts it, with options of its own."""
 
 from __future__ import annotations
 
@@ -34,19 +32,19 @@
 @click.option("--ask-restart", is_flag=True, help="With --fleet: SIGTERM asks for a permit, without waiting.")
 def run(config: Path | None, log: str, record: Path | None, fleet: Path | None, ask_restart: bool) -> None:
     """Start one marshal with the configuration CONFIG, or the one that PROXY_CONFIG names."""
-    from brookreach import __main__ as marshal
-    from brookreach.cli.structured import writer
+    from brookreach import __main__ as balancer
+    from brookreach.cli.structured import select_writer
 
     if config is not None:
         os.environ["PROXY_CONFIG"] = str(config)
     if fleet is None:
-        sys.exit(marshal.serve(partial(writer, log), record))
+        sys.exit(balancer.serve(partial(select_writer, log), record))
     from brookreach.disruption.balancer_client import BalancerClient
     from brookreach.files import InvalidFileError
 
     try:
         make_client = partial(BalancerClient, path=fleet, restarts=ask_restart)
-        sys.exit(marshal.serve(partial(writer, log), record, make_client))
+        sys.exit(balancer.serve(partial(select_writer, log), record, make_client))
     except InvalidFileError as error:
         click.echo(f"brookreach: {error}", err=True)
         sys.exit(2)
--- a/brookreach/cli/scale.py
+++ b/brookreach/cli/scale.py
@@ -1,4 +1,4 @@
-"""`brookreach scale NAME`: what a role of the program costs at a given size."""
+"""`brookreach scale NAME`: measures what a role of the program costs at given sizes."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     """Measure what each role costs at sizes that you state, on this machine, with slopes fitted to it."""
 
 
-class BadInput(click.ClickException):
-    """What was asked for can't be measured: one line that says what is allowed."""
+class InvalidInputError(click.ClickException):
+    """What was asked for can't be measured; the line that is printed says what is allowed."""
 
     exit_code = 2
--- a/brookreach/cli/structured.py
+++ b/brookreach/cli/structured.py
@@ -1,7 +1,7 @@
-"""Log lines as JSON, by structlog: what `--log json` hands to `net/report.py`.
+"""Log lines as JSON, written by structlog: the writers that `--log json` gives to `net/report.py`.
 
-It owns the object a line is. It must never decide which lines are written; structlog is imported when asked
-for.
+The module owns the form of a line, and must never decide which lines are written. structlog is imported only if it is
+asked for.
 """
 
 from __future__ import annotations
@@ -11,8 +11,11 @@
 from brookreach.net.report import LineWriter
 
 
-def structured(name: str) -> LineWriter:
-    """One JSON object a line: `at`, `level`, `marshal`, `kind`, `event`; figures stay in the words."""
+def json_writer(name: str) -> LineWriter:
+    """Return a writer of one JSON object a line, with the keys `at`, `level`, `marshal`, `kind` and `event`.
+
+    Figures stay in the text of the event.
+    """
     import structlog
 
     logger = structlog.wrap_logger(
@@ -26,6 +29,6 @@
     return lambda kind, text: (logger.error if kind == "fault" else logger.info)(text, kind=kind)
 
 
-def writer(form: str, name: str) -> LineWriter | None:
-    """What `--log` names: None for plain lines."""
-    return structured(name) if form == "json" else None
+def select_writer(form: str, name: str) -> LineWriter | None:
+    """Return the writer that `--log` names; None for plain lines."""
+    return json_writer(name) if form == "json" else None
--- a/brookreach/cli/verdict.py
+++ b/brookreach/cli/verdict.py
@@ -1,17 +1,22 @@
-"""`brookreach verdict plan|show|replay`: what a wave promises, what became of it, and under other rates."""
+"""`brookreach verdict plan|show|replay`: what a rollout promises, how it went, and how under other error rates."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, TypeVar
 
 import click
 
 from brookreach import interface as ifc
-from brookreach.cli.main import out
+from brookreach.cli.main import print_result
+
+if TYPE_CHECKING:
+    from brookreach.verdict.notes import Wave
+
+FILE_PATH = click.Path(path_type=Path, dir_okay=False)
+Result = TypeVar("Result")
 
-FILE = click.Path(path_type=Path, dir_okay=False)
 RATE = click.FloatRange(0.0, 0.5, min_open=True)
 
 
@@ -20,7 +25,8 @@
     """Plans of waves, and verdicts on builds as they were reached."""
 
 
-def or_say(call: Callable[[], Any]) -> Any:
+def report_errors(call: Callable[[], Result]) -> Result:
+    """Return what a call returns; errors of files and plans end the command with one line and exit code 1."""
     from brookreach.files import InvalidFileError
     from brookreach.verdict.plan import PlanError
 
@@ -31,50 +37,57 @@
 
 
 @verdict.command()
-@click.argument("file", type=FILE, required=False)
+@click.argument("file", type=FILE_PATH, required=False)
 @click.option("--false-alarm", type=float, help="Instead of the file's.")
 @click.option("--miss", type=float, help="Instead of the file's.")
 @click.option("--json", "as_json", is_flag=True, help="Print one object.")
 def plan(file: Path | None, false_alarm: float | None, miss: float | None, as_json: bool) -> None:
     """What the wave of FILE (TOML; without it, the defaults) promises: thresholds, effects, error rates."""
-    from brookreach.cli import files
+    from brookreach.cli import plan_file
     from brookreach.verdict import plan as plans
 
-    def made() -> plans.Plan:
-        start, seen, effects = files.planned(file)
+    def make_plan() -> plans.Plan:
+        start, seen, effects = plan_file.plan_inputs_from(file)
         return plans.make(plans.restated(start, false_alarm, miss), seen, effects)
 
-    found = or_say(made)
-    out(as_json, found.told(), lambda: plans.table(found))
+    made = report_errors(make_plan)
+    print_result(as_json, made.told(), lambda: plans.table(made))
+
 
+def select_waves(file: Path, build: int | None) -> list[Wave]:
+    """Return the rollouts of a record: those of one build, or all of them.
 
-def waves_of(file: Path, build: int | None) -> list[Any]:
+    Raises:
+        ClickException: The record can't be read, or holds none.
+    """
     from brookreach.cli import files
 
-    waves = or_say(lambda: files.read_record(file))
-    some = [wave for wave in waves if build in (None, wave.build)]
-    if not some:
+    waves = report_errors(lambda: files.read_waves(file))
+    selected = [wave for wave in waves if build in (None, wave.build)]
+    if not selected:
         held = ", ".join(str(wave.build) for wave in waves) or "none"
         raise click.ClickException(f"{file}: no build {build}; it holds {held}")
-    return some
+    return selected
 
 
 @verdict.command()
-@click.argument("file", type=FILE)
+@click.argument("file", type=FILE_PATH)
 @click.option("--build", type=int, help="Only this one.")
 @click.option("--json", "as_json", is_flag=True, help="Print one object.")
 def show(file: Path, build: int | None, as_json: bool) -> None:
     """Why each build in the record FILE went on or back."""
     from brookreach.verdict import replay
 
-    found = [replay.replay(wave) for wave in waves_of(file, build)]
-    out(
-        as_json, {"builds": [replay.told(one) for one in found]}, lambda: "\n\n".join(replay.show(one) for one in found)
+    replays = [replay.replay(wave) for wave in select_waves(file, build)]
+    print_result(
+        as_json,
+        {"builds": [replay.told(one) for one in replays]},
+        lambda: "\n\n".join(replay.show(one) for one in replays),
     )
 
 
 @verdict.command()
-@click.argument("file", type=FILE)
+@click.argument("file", type=FILE_PATH)
 @click.option("--build", type=int, help="Only this one.")
 @click.option("--false-alarm", type=RATE, help="Instead of the record's.")
 @click.option("--miss", type=RATE, help="Instead of the record's.")
@@ -84,7 +97,7 @@
     from brookreach.verdict import replay
 
     pairs = []
-    for wave in waves_of(file, build):
+    for wave in select_waves(file, build):
         old = wave.start.stated
         stated = ifc.ErrorRateTargets(
             old.false_alarm if false_alarm is None else false_alarm, old.miss if miss is None else miss
@@ -99,5 +112,5 @@
             for was, now, stated in pairs
         )
 
-    told = [{"was": replay.told(was), "now": replay.told(now)} for was, now, _ in pairs]
-    out(as_json, {"builds": told}, lines)
+    builds = [{"was": replay.told(was), "now": replay.told(now)} for was, now, _ in pairs]
+    print_result(as_json, {"builds": builds}, lines)
--- a/brookreach/cli/waves.py
+++ b/brookreach/cli/waves.py
@@ -1,4 +1,4 @@
-"""`brookreach waves`: whole waves in the model, by case and seed."""
+"""`brookreach waves`: whole rollouts in the model, by case and seed."""
 
 from __future__ import annotations
 
@@ -7,7 +7,10 @@
 
 import click
 
-from brookreach.cli.main import out, progress
+from brookreach.cli.main import print_result, progress_printer
+
+MAX_DEFAULT_MARSHALS = 30
+"""Cases with more are played only by name."""
 
 
 @click.command()
@@ -30,14 +33,17 @@
     from brookreach.model.case import CASES
 
     if listed:
-        return out(as_json, {"cases": list(CASES)}, lambda: "\n".join(CASES))
+        print_result(as_json, {"cases": list(CASES)}, lambda: "\n".join(CASES))
+        return
     unknown = [name for name in names if name not in CASES]
     if unknown:
         raise click.ClickException(f"no case {', '.join(unknown)}; --list names them")
-    some = list(names) or [name for name, case in CASES.items() if case.marshals <= 30]
+    cases = list(names) or [name for name, case in CASES.items() if case.marshals <= MAX_DEFAULT_MARSHALS]
     try:
-        played = experiment.run(experiment.work_of(some, seed, seeds), jobs, rows, progress("waves", as_json))
+        rollouts = experiment.run(
+            experiment.work_of(cases, seed, seeds), jobs, rows, progress_printer("waves", as_json)
+        )
     except OSError as error:
         raise click.ClickException(f"{rows}: {error.strerror}") from None
-    summed = sorted(experiment.summary(played), key=lambda row: some.index(row["case"]))
-    out(as_json, {"seed": seed, "seeds": seeds, "cases": summed}, lambda: experiment.table(summed))
+    summary = sorted(experiment.summary(rollouts), key=lambda row: cases.index(row["case"]))
+    print_result(as_json, {"seed": seed, "seeds": seeds, "cases": summary}, lambda: experiment.table(summary))
--- a/brookreach/cli/xds.py
+++ b/brookreach/cli/xds.py
@@ -20,7 +20,7 @@
     """Serve ADS as FILE (TOML) says, until SIGTERM; SIGHUP reads it again."""
     import anyio
 
-    from brookreach.cli.structured import writer
+    from brookreach.cli.structured import select_writer
     from brookreach.configuration import StartupError
     from brookreach.files import InvalidFileError
     from brookreach.tls.errors import InvalidCredentialsError
@@ -28,7 +28,7 @@
     from brookreach.xds.control_plane import ControlPlane
 
     try:
-        control_plane = ControlPlane(file, read_configuration(file), partial(writer, log))
+        control_plane = ControlPlane(file, read_configuration(file), partial(select_writer, log))
         anyio.run(control_plane.run)
     except (StartupError, InvalidFileError, InvalidCredentialsError, OSError) as error:
         raise click.ClickException(str(error)) from None
--- a/brookreach/xds/control_plane.py
+++ b/brookreach/xds/control_plane.py
@@ -10,11 +10,11 @@
 import anyio
 
 from brookreach import interface as ifc
-from brookreach.net.runtime import BalancerRuntime
 from brookreach.configuration import read_json_object
 from brookreach.files import InvalidFileError
 from brookreach.net.endpoint import ListedNode
 from brookreach.net.report import LineWriterFactory
+from brookreach.net.runtime import BalancerRuntime
 from brookreach.tls.reloader import CredentialsReloader
 from brookreach.xds import store
 from brookreach.xds.ads_server import AdsServer
