--- a/brookreach/policy/canary_analysis.py
+++ b/brookreach/policy/canary_analysis.py
@@ -135,12 +135,12 @@
         )
         news, chart = self.news, self.charts.setdefault((method, stream), CusumChart(limit))
         chart.threshold = limit  # one bad node is no bad build: two must contribute, or more
-        chart.step(size, node, math.inf if node < 0 else max(3.2, 1.25 * limit / max(2, self.trial_nodes)))
+        chart.add(size, node, math.inf if node < 0 else max(3.2, 1.25 * limit / max(2, self.trial_nodes)))
         if news is None or chart.level < limit:
             return
         # A bad node looks like a bad build in tallies: two must stand in my charts, or votes agree on three.
         chart.level = limit
-        stood = {one for (_, own), its in self.charts.items() if own in stream for one in its.added} - {-1}
+        stood = {one for (_, own), its in self.charts.items() if own in stream for one in its.added_by_node} - {-1}
         # Where few, one marshal's links may fail and not the fleet's: tallies must not speak against it.
         told = self.charts.get((method, f"tallied {stream}")) if self.few else None
         sure = (
@@ -154,7 +154,8 @@
             self.acts.append(
                 LogLine(
                     f"{name} {stream} {chart.level:.1f} of {chart.threshold:.1f}, before {before:.3f}, "
-                    f"{chart.failed} of {chart.seen} against, nodes {len(chart.added)} of {self.trial_nodes}"
+                    f"{chart.adverse_count} of {chart.outcome_count} against, "
+                    f"nodes {len(chart.added_by_node)} of {self.trial_nodes}"
                 )
             )
             self.decide(now)
@@ -212,7 +213,7 @@
             return Verdict.NONE  # machines of this stage are still to come
         last = news.stage + 1 >= len(self.shares)  # a release opens nothing more
         opens, waited = self.shares[news.stage if last else news.stage + 1], now - max(starts) - WARM_UP_MS
-        against = any(chart.trust > 1.0 for chart in self.charts.values())
+        against = any(chart.cumulative_sum > 1.0 for chart in self.charts.values())
         # A few nodes' fault or the build's: where they can't tell, more will, short of the full share.
         if doubt and (opens == 1.0 or self.few or waited < 3.0 * self.thresholds.wait_ms * opens):
             return Verdict.NONE
--- a/brookreach/policy/cusum.py
+++ b/brookreach/policy/cusum.py
@@ -1,100 +1,129 @@
-"""What builds are judged by: steps, ranks, charts."""
+"""The CUSUM charts of canary analysis: the size of each step, the charts, and the evidence for promotion.
+
+A step is the log likelihood ratio of one outcome: a worse candidate build to one that is like the baseline build.
+"""
 
 import math
 from bisect import bisect
+from typing import Final
 
 from brookreach.interface import OutcomeCounts
 
-MIN_BASELINE_RATE = 0.02  # of the before-rate
-MIN_BASELINE_OUTCOMES, BASELINE_FRESH_MS, BASELINE_MAX_AGE_MS = (
-    20,
-    4000.0,
-    20_000.0,
-)  # outcomes that tell a rate; how old they may be
-FAILURE_RATE_INCREASE, OVERALL_FAILURE_RATE_INCREASES, SLOWDOWN_RATIO = (
-    0.15,
-    (0.05, 0.08, 0.11),
-    1.6,
-)  # of failures, by stream and over all; work: told apart
-ALL_METHODS = -1  # the stream over all methods
+MIN_BASELINE_RATE: Final = 0.02  # floor of the baseline's failure rate
+MIN_BASELINE_OUTCOMES: Final = 20  # a rate or a rank needs as many
+BASELINE_FRESH_MS: Final = 4000.0  # baseline outcomes that are older count only while there are too few
+BASELINE_MAX_AGE_MS: Final = 20_000.0
+FAILURE_RATE_INCREASE: Final = 0.15  # effect size of one method's failures chart
+OVERALL_FAILURE_RATE_INCREASES: Final = (0.05, 0.08, 0.11)  # effect sizes over all methods, of which a wave takes one
+SLOWDOWN_RATIO: Final = 1.6  # effect size of the speed charts
+MAX_SPEED_STEP: Final = 2.0  # one answer counts no more than an error would
+ALL_METHODS: Final = -1  # the key, in place of a method, of charts over all methods
 
 
-def failure_step(failure: bool, before: float, rise: float) -> float:
-    """The log likelihood ratio of one outcome, after-rate to before-rate."""
-    before = min(before, 0.95 - rise)  # with nearly all failing on both builds, still two different rates
-    after = before + rise
-    return math.log(after / before) if failure else math.log((1.0 - after) / (1.0 - before))
+def failure_step(is_failure: bool, baseline_rate: float, increase: float) -> float:
+    """Returns the log likelihood ratio of one outcome at a failure rate raised by `increase` to the baseline's."""
+    # Where nearly all fail on both builds the two rates must still differ.
+    baseline_rate = min(baseline_rate, 0.95 - increase)
+    raised_rate = baseline_rate + increase
+    if is_failure:
+        return math.log(raised_rate / baseline_rate)
+    return math.log((1.0 - raised_rate) / (1.0 - baseline_rate))
 
 
-def mean_failure_step(rise: float) -> float:
-    """What an outcome adds to a chart on average where the build fails by `rise` over the floor."""
-    up, down = failure_step(True, MIN_BASELINE_RATE, rise), failure_step(False, MIN_BASELINE_RATE, rise)
-    return (MIN_BASELINE_RATE + rise) * up + (1.0 - MIN_BASELINE_RATE - rise) * down
+def mean_failure_step(increase: float) -> float:
+    """Returns the mean step of a build whose failure rate lies by `increase` above the floor of the baseline's."""
+    failure = failure_step(True, MIN_BASELINE_RATE, increase)
+    success = failure_step(False, MIN_BASELINE_RATE, increase)
+    return (MIN_BASELINE_RATE + increase) * failure + (1.0 - MIN_BASELINE_RATE - increase) * success
 
 
-def rank_score(pace: float, low: list[float]) -> float:
-    """Where a time stands among the sorted ones of the earlier build, as a score that is about normal.
+def rank_score(log_duration: float, baseline: list[float]) -> float:
+    """Returns the rank of a duration among the baseline's sorted ones, as a score that is about standard normal.
 
-    Jams move both, a crawling node of the earlier build the end only.
+    Overload moves both builds' durations and leaves the ranks; one very slow baseline node moves only their upper end.
     """
-    above = bisect(low, pace) + 0.5
-    return math.log(above / (len(low) + 1.0 - above)) / 1.7
+    position = bisect(baseline, log_duration) + 0.5
+    return math.log(position / (len(baseline) + 1.0 - position)) / 1.7
 
 
-def speed_step(score: float, low: list[float]) -> float:
-    """The step for such a score: a build that takes `SLOWDOWN_RATIO` times as long to one that is alike."""
-    spread = max(0.1, (low[3 * len(low) // 4] - low[len(low) // 4]) / 1.35)
+def speed_step(score: float, baseline: list[float]) -> float:
+    """Returns the step of a rank score: a build that takes `SLOWDOWN_RATIO` times as long, to one that is alike."""
+    spread = max(0.1, (baseline[3 * len(baseline) // 4] - baseline[len(baseline) // 4]) / 1.35)
     shift = min(1.2, math.log(SLOWDOWN_RATIO) / spread)
-    return max(-2.0, min(2.0, shift * (score - 0.5 * shift)))  # one answer counts no more than an error would
+    return max(-MAX_SPEED_STEP, min(MAX_SPEED_STEP, shift * (score - 0.5 * shift)))
 
 
-def mean_duration_step(told: OutcomeCounts, count: float, total_ms: float, shift: float) -> float:
-    """The step for a mean beside `count` answers; of few, far below tells no more than as usual."""
-    longer = math.log(max(1.0, told.mean_ms * count / max(1.0, total_ms)))
-    return shift * (longer - 0.5 * shift) / (1.0 / (told.count - told.failed) + 1.0 / (count + 1.0))
+def mean_duration_step(counts: OutcomeCounts, answers: float, total_ms: float, shift: float) -> float:
+    """Returns the step of the mean duration in `counts`, beside `answers` baseline answers of `total_ms` together.
 
+    `shift` is the log of the ratio that is told apart. A mean below the baseline's counts as equal to it: of few
+    answers, one far below tells no more.
+    """
+    log_ratio = math.log(max(1.0, counts.mean_ms * answers / max(1.0, total_ms)))
+    return shift * (log_ratio - 0.5 * shift) / (1.0 / (counts.count - counts.failed) + 1.0 / (answers + 1.0))
 
-class CusumChart:
-    """One stream's CUSUM, at 0 or above. What one node has added since it last stood at 0 ends at `most`.
 
-    `trust` is the sum of the same steps without the floor: far below 0, the build is as good as the last.
+class CusumChart:
+    """The one-sided CUSUM of one stream of outcomes.
+
+    Attributes:
+        threshold: The level at which the chart raises an alarm.
+        level: The sum of the steps, never below 0.
+        cumulative_sum: The sum of the same steps without that bound: far below 0, the build is as good as the baseline.
+        outcome_count: How many steps it has had.
+        adverse_count: How many of them were above 0.
+        added_by_node: What each node has added since the level last was 0.
     """
 
     def __init__(self, threshold: float) -> None:
-        self.threshold, self.level, self.trust, self.seen, self.failed = threshold, 0.0, 0.0, 0, 0
-        self.added: dict[int, float] = {}
-
-    def step(self, size: float, node: int, most: float) -> None:
-        if size > 0.0:
-            size = max(0.0, min(size, most - self.added.get(node, 0.0)))
-            self.added[node] = self.added.get(node, 0.0) + size
-        self.seen, self.failed, self.trust = self.seen + 1, self.failed + (size > 0.0), self.trust + size
-        self.level = max(0.0, self.level + size)
+        self.threshold = threshold
+        self.level = 0.0
+        self.cumulative_sum = 0.0
+        self.outcome_count = 0
+        self.adverse_count = 0
+        self.added_by_node: dict[int, float] = {}
+
+    def add(self, step: float, node: int, max_per_node: float) -> None:
+        """Adds one step; what a node adds between two visits to 0 is limited to `max_per_node`."""
+        if step > 0.0:
+            step = max(0.0, min(step, max_per_node - self.added_by_node.get(node, 0.0)))
+            self.added_by_node[node] = self.added_by_node.get(node, 0.0) + step
+        self.outcome_count += 1
+        self.adverse_count += step > 0.0
+        self.cumulative_sum += step
+        self.level = max(0.0, self.level + step)
         if self.level == 0.0:
-            self.added.clear()
+            self.added_by_node.clear()
 
 
 def is_confidence_reached(
-    charts: dict[tuple[int, str], CusumChart], need: float, methods: int, few: bool, seen: int
+    charts: dict[tuple[int, str], CusumChart], needed: float, methods: int, low_traffic: bool, outcome_count: int
 ) -> bool:
-    """Whether the charts by (method, stream) speak for the build by `need`, over all methods and in each one.
-
-    `seen` outcomes are this balancer's own; where `few` are seen the tallied charts are asked.
+    """Whether the charts speak for the candidate by `needed`, over all methods together and in each one.
+
+    Args:
+        charts: By method and stream.
+        needed: Log odds for the build.
+        methods: How many methods there are.
+        low_traffic: Whether low-traffic mode holds: then the charts of the fleet's outcome counts are asked.
+        outcome_count: This balancer's own outcomes of the candidate.
     """
-    failed, slow = ("tallied failures", "tallied speed") if few else ("failures", "speed")
-    rare = 0 if few else seen // (3 * methods)  # would take too long
-    own = {
+    failures, speed = ("tallied failures", "tallied speed") if low_traffic else ("failures", "speed")
+    # A method with few of the outcomes would take too long.
+    min_outcomes = 0 if low_traffic else outcome_count // (3 * methods)
+    sums = {
         kind: [
-            chart.trust
+            chart.cumulative_sum
             for (method, stream), chart in charts.items()
-            if stream == kind and method != ALL_METHODS and chart.seen >= rare
+            if stream == kind and method != ALL_METHODS and chart.outcome_count >= min_outcomes
         ]
-        for kind in (failed, slow)
+        for kind in (failures, speed)
     }
-    fast = (need if few else need / methods) if own[slow] else 0.0  # few: all times are tallied
+    # The fleet's counts hold all durations; of a balancer's own, part of the evidence is enough.
+    needed_speed = (needed if low_traffic else needed / methods) if sums[speed] else 0.0
     return (
-        bool(own[failed])
-        and sum(own[failed]) <= -need
-        and max(own[failed]) <= -need / methods
-        and (sum(own[slow]) <= -fast)
+        bool(sums[failures])
+        and sum(sums[failures]) <= -needed
+        and max(sums[failures]) <= -needed / methods
+        and (sum(sums[speed]) <= -needed_speed)
     )
--- a/brookreach/verdict/replay.py
+++ b/brookreach/verdict/replay.py
@@ -111,7 +111,7 @@
                 found.crossed, found.crossed_ms = act.text, note.now - offered
         acts.clear()
     found.threshold = judge.thresholds.own
-    found.trust = {chart_name(wave, key): chart.trust for key, chart in judge.charts.items()}
+    found.trust = {chart_name(wave, key): chart.cumulative_sum for key, chart in judge.charts.items()}
     return found
 
 
