--- a/brookreach/policy/canary_analysis.py
+++ b/brookreach/policy/canary_analysis.py
@@ -111,7 +111,7 @@
             before = max(MIN_BASELINE_RATE, earlier.errors())
             if late:  # one more than was seen: few tell little
                 before = max(before, (sum([one[4] for one in beside]) + 1.0) / (len(beside) + 1.0))
-            for stream, rise in ((method, FAILURE_RATE_INCREASE), (ALL_METHODS, self.thresholds.rise)):
+            for stream, rise in ((method, FAILURE_RATE_INCREASE), (ALL_METHODS, self.thresholds.overall_rate_increase)):
                 size = failure_step(failure, before, rise)
                 self.step(now, stream, "failures", size, before, entry.node)
         if weight:
@@ -124,14 +124,14 @@
         if news is None or not self.few or told.count == 0 or told.build > news.build:
             return
         steps = self.tallies.observe(now, told, news, self.ready, self.thresholds, self.abreast)
-        if self.tallies.load_rose:
+        if self.tallies.load_increased:
             self.charts.pop((ALL_METHODS, "burden"), None)
         for one in steps:
-            self.step(now, one.method, one.stream, one.size, one.before)
+            self.step(now, one.method, one.stream, one.size, one.baseline_rate)
 
     def step(self, now: float, method: int, stream: str, size: float, before: float, node: int = -1) -> None:
         limit = (
-            self.thresholds.tallied if node < 0 else self.thresholds.own + (self.rare if stream == "failures" else 0.0)
+            self.thresholds.fleet if node < 0 else self.thresholds.local + (self.rare if stream == "failures" else 0.0)
         )
         news, chart = self.news, self.charts.setdefault((method, stream), CusumChart(limit))
         chart.threshold = limit  # one bad node is no bad build: two must contribute, or more
@@ -194,7 +194,7 @@
 
     def trusted(self, opens: float) -> bool:
         """Whether what was seen speaks for the build as far as the share that `on` opens asks for."""
-        need = max(0.5, self.thresholds.trust + math.log(max(1e-3, opens)))
+        need = max(0.5, self.thresholds.promotion_confidence + math.log(max(1e-3, opens)))
         return is_confidence_reached(self.charts, need, len(self.methods), self.few, self.seen)
 
     def wanted(self, now: float, news: RolloutStatus) -> Verdict:
@@ -215,13 +215,13 @@
         opens, waited = self.shares[news.stage if last else news.stage + 1], now - max(starts) - WARM_UP_MS
         against = any(chart.cumulative_sum > 1.0 for chart in self.charts.values())
         # A few nodes' fault or the build's: where they can't tell, more will, short of the full share.
-        if doubt and (opens == 1.0 or self.few or waited < 3.0 * self.thresholds.wait_ms * opens):
+        if doubt and (opens == 1.0 or self.few or waited < 3.0 * self.thresholds.promotion_wait_ms * opens):
             return Verdict.NONE
         # All of the fleet is opened, and released (which ends tallies), after a tally of warm machines.
-        tell = self.few and opens == 1.0 and now - self.tallies.heard_at < 1.5 * self.tally_ms
+        tell = self.few and opens == 1.0 and now - self.tallies.received_ms < 1.5 * self.tally_ms
         most = max(
             (1.5 * self.tally_ms + self.tallies.lag_ms) * tell,
-            1000.0 if last else (self.thresholds.wait_ms * opens * (2.0 if against else 1.0)),
+            1000.0 if last else (self.thresholds.promotion_wait_ms * opens * (2.0 if against else 1.0)),
         )
         return Verdict.NONE if waited < most and not self.trusted(opens) else Verdict.ON
 
--- a/brookreach/policy/outcome_counts.py
+++ b/brookreach/policy/outcome_counts.py
@@ -1,7 +1,7 @@
-"""What the platform's tallies of all picks tell, for a balancer that sees few of them itself."""
+"""Chart steps from the outcome counts that the platform reports of the whole fleet, for low-traffic mode."""
 
 import math
-from typing import NamedTuple
+from typing import Final, NamedTuple
 
 from brookreach.interface import BalancerSettings, NodeEntry, OutcomeCounts, RolloutPhase, RolloutStatus
 from brookreach.policy.common import WARM_UP_MS, slow_start_factor
@@ -15,96 +15,151 @@
 )
 from brookreach.policy.thresholds import Thresholds
 
-DECAY = 0.5  # of what earlier periods told, with each tally
-BUSY = 1.2  # times the usual load: from here on load alone explains longer times
-SPEED_SHIFT = 0.6  # the log of how much longer a build on trial takes that is told from one that is alike
-BURDEN_SHIFT = 0.4  # the same for the earlier build's nodes, slowed by the one on trial
+DECAY: Final = 0.5  # of earlier periods, with each report
+LOAD_INCREASE_RATIO: Final = 1.2  # from so many times the typical load, load alone explains longer durations
+SPEED_LOG_RATIO: Final = 0.6  # effect size of the speed charts: log of the ratio of mean durations
+BURDEN_LOG_RATIO: Final = 0.4  # the same for baseline nodes that the candidate build slows down
 
 
 class ChartStep(NamedTuple):
-    """One step of one chart; `before` is the earlier build's rate that it is held against."""
+    """One step of one chart; `baseline_rate` is the baseline's failure rate that it is compared with."""
 
     method: int
     stream: str
     size: float
-    before: float
+    baseline_rate: float
 
 
 class OutcomeCountsAnalysis:
-    """Tallies of the earlier build by method, the load, and the steps that a tally of the build on trial gives."""
+    """Sums of the baseline's outcome counts by method, the load, and the steps that the candidate's counts give.
 
-    def __init__(self, start: BalancerSettings) -> None:
-        self.tally_ms, self.guards = start.rollout.tally_ms, start.guards
-        self.heard_at, self.lag_ms = -math.inf, 0.0  # the last tally, and how late it came
-        self.earlier = dict[int, list[float]]()  # by method: outcomes, failures, ms, when
-        self.quiet = dict[int, tuple[float, float]]()  # before the offer, by method: answers, ms
-        self.load, self.usual_load, self.counted = 0.0, 0.0, 0  # tallied picks for what the nodes can do
-        self.load_rose = False  # with the last tally
+    Attributes:
+        received_ms: When the last report came.
+        lag_ms: How old that report was by then.
+        baseline: By method: outcomes, failures, the answers' durations together (ms), when last reported (ms).
+        before_rollout: By method: answers and their durations together (ms), before the candidate gets RPCs.
+        load: Picks counted in the last full period, by unit of the nodes' capacity.
+        typical_load: The same, averaged over periods before the candidate gets RPCs.
+        period_count: Picks counted in the current period.
+        load_increased: Whether the last report began a period behind one of higher load, which explains longer
+            durations.
+    """
+
+    def __init__(self, settings: BalancerSettings) -> None:
+        self.report_interval_ms = settings.rollout.tally_ms
+        self.safety_limits = settings.guards
+        self.received_ms = -math.inf
+        self.lag_ms = 0.0
+        self.baseline = dict[int, list[float]]()
+        self.before_rollout = dict[int, tuple[float, float]]()
+        self.load = 0.0
+        self.typical_load = 0.0
+        self.period_count = 0
+        self.load_increased = False
 
     def observe(
         self,
         now: float,
-        told: OutcomeCounts,
-        news: RolloutStatus,
-        ready: list[NodeEntry],
+        counts: OutcomeCounts,
+        status: RolloutStatus,
+        ready_nodes: list[NodeEntry],
         thresholds: Thresholds,
-        abreast: bool,
+        has_baseline_nodes: bool,
     ) -> list[ChartStep]:
-        """Returns the steps of the charts; no tally alone crosses. `abreast`: earlier nodes are not the last."""
-        steps = self._burden(now, told, news, ready, thresholds, abreast)
-        end, self.heard_at, self.lag_ms = now - told.age_ms, now, told.age_ms
-        good = told.count - told.failed
-        count, failed, total_ms, at = self.earlier.get(told.method, [0.0, 0.0, 0.0, now])
-        if told.build < news.build:
-            self.earlier[told.method] = [
-                DECAY * count + told.count,
-                DECAY * failed + told.failed,
-                DECAY * total_ms + told.mean_ms * good,
+        """Returns the chart steps of one report; none alone makes a chart cross.
+
+        `has_baseline_nodes`: the baseline still has nodes enough to be compared with.
+        """
+        steps = self._baseline_slowdown_steps(now, counts, status, ready_nodes, thresholds, has_baseline_nodes)
+        period_end_ms = now - counts.age_ms
+        self.received_ms = now
+        self.lag_ms = counts.age_ms
+        answers = counts.count - counts.failed
+        baseline_count, baseline_failed, total_ms, reported_ms = self.baseline.get(counts.method, [0.0, 0.0, 0.0, now])
+        if counts.build < status.build:
+            self.baseline[counts.method] = [
+                DECAY * baseline_count + counts.count,
+                DECAY * baseline_failed + counts.failed,
+                DECAY * total_ms + counts.mean_ms * answers,
                 now,
             ]
             return steps
-        if news.phase != RolloutPhase.ON_TRIAL or count < MIN_BASELINE_OUTCOMES or now - at > 2.5 * self.tally_ms:
+        if (
+            status.phase != RolloutPhase.ON_TRIAL
+            or baseline_count < MIN_BASELINE_OUTCOMES
+            or now - reported_ms > 2.5 * self.report_interval_ms
+        ):
             return steps  # decided, or nothing left to compare with
-        before = max(MIN_BASELINE_RATE, failed / count)
-        for stream, rise in ((told.method, FAILURE_RATE_INCREASE), (ALL_METHODS, thresholds.rise)):
-            size = told.failed * failure_step(True, before, rise) + good * failure_step(False, before, rise)
-            size = min(thresholds.max_tally_steps[stream], size)
-            steps.append(ChartStep(stream, "tallied failures", size, before))
-        # Of the machines that ran by then, none in its first seconds: what it held up then waits on.
-        ran = [one.started_ms for one in ready if one.build == news.build and one.started_ms < end]
-        if good and failed < count and ran and max(ran) + WARM_UP_MS <= end - self.tally_ms:
-            size = mean_duration_step(told, count - failed, total_ms, SPEED_SHIFT)
-            for stream in (told.method, ALL_METHODS):
-                steps.append(ChartStep(stream, "tallied speed", thresholds.bounded(stream, size), before))
+        baseline_rate = max(MIN_BASELINE_RATE, baseline_failed / baseline_count)
+        for method, increase in (
+            (counts.method, FAILURE_RATE_INCREASE),
+            (ALL_METHODS, thresholds.overall_rate_increase),
+        ):
+            size = counts.failed * failure_step(True, baseline_rate, increase) + answers * failure_step(
+                False, baseline_rate, increase
+            )
+            size = min(thresholds.max_counts_steps[method], size)
+            steps.append(ChartStep(method, "tallied failures", size, baseline_rate))
+        # Durations are compared only where no candidate node that ran in the period was in its first seconds: what it
+        # delayed then is waited for later too.
+        started_ms = [
+            node.started_ms for node in ready_nodes if node.build == status.build and node.started_ms < period_end_ms
+        ]
+        if (
+            answers
+            and baseline_failed < baseline_count
+            and started_ms
+            and max(started_ms) + WARM_UP_MS <= period_end_ms - self.report_interval_ms
+        ):
+            size = mean_duration_step(counts, baseline_count - baseline_failed, total_ms, SPEED_LOG_RATIO)
+            for method in (counts.method, ALL_METHODS):
+                steps.append(
+                    ChartStep(method, "tallied speed", thresholds.limit_counts_step(method, size), baseline_rate)
+                )
         return steps
 
-    def _burden(
+    def _baseline_slowdown_steps(
         self,
         now: float,
-        told: OutcomeCounts,
-        news: RolloutStatus,
-        ready: list[NodeEntry],
+        counts: OutcomeCounts,
+        status: RolloutStatus,
+        ready_nodes: list[NodeEntry],
         thresholds: Thresholds,
-        abreast: bool,
+        has_baseline_nodes: bool,
     ) -> list[ChartStep]:
-        """A build may slow old nodes too: their times against those before it, under no more load."""
-        good = told.count - told.failed
-        count, total_ms = self.quiet.get(told.method, (0.0, 0.0))
-        calm = news.phase != RolloutPhase.ON_TRIAL or news.stage == 0
-        self.load_rose = False
-        if now > self.heard_at + 0.5 * self.tally_ms:  # the first of a period, whose order tells nothing
-            capacity = sum([one.size * slow_start_factor(one, now, self.guards) for one in ready])
-            self._begin_period(capacity, calm)
-        self.counted += told.count
-        if calm:
-            self.quiet[told.method] = DECAY * count + good, DECAY * total_ms + told.mean_ms * good
-        elif abreast and good and told.build < news.build and self.load < BUSY * self.usual_load:
-            size = mean_duration_step(told, count, total_ms, BURDEN_SHIFT)  # the nodes', whatever the method
-            return [ChartStep(ALL_METHODS, "burden", thresholds.bounded(ALL_METHODS, size), 0.0)]
+        """Compares baseline nodes with themselves before the rollout, as a candidate may slow them down too.
+
+        They are compared under no more load only.
+        """
+        answers = counts.count - counts.failed
+        earlier_answers, total_ms = self.before_rollout.get(counts.method, (0.0, 0.0))
+        is_before_rollout = status.phase != RolloutPhase.ON_TRIAL or status.stage == 0
+        self.load_increased = False
+        # The first report of a period; the order of the others in it tells nothing.
+        if now > self.received_ms + 0.5 * self.report_interval_ms:
+            capacity = sum([node.size * slow_start_factor(node, now, self.safety_limits) for node in ready_nodes])
+            self._begin_period(capacity, is_before_rollout)
+        self.period_count += counts.count
+        if is_before_rollout:
+            self.before_rollout[counts.method] = (
+                DECAY * earlier_answers + answers,
+                DECAY * total_ms + counts.mean_ms * answers,
+            )
+        elif (
+            has_baseline_nodes
+            and answers
+            and counts.build < status.build
+            and self.load < LOAD_INCREASE_RATIO * self.typical_load
+        ):
+            size = mean_duration_step(counts, earlier_answers, total_ms, BURDEN_LOG_RATIO)
+            # One chart over all methods: it is the nodes that are slowed down, whatever the method.
+            return [ChartStep(ALL_METHODS, "burden", thresholds.limit_counts_step(ALL_METHODS, size), 0.0)]
         return []
 
-    def _begin_period(self, capacity: float, calm: bool) -> None:
-        self.load, self.counted = self.counted / max(1.0, capacity), 0
-        if calm:
-            self.usual_load = DECAY * ((self.usual_load or self.load) + self.load)
-        self.load_rose = self.load > BUSY * self.usual_load  # in the period before, and explains it
+    def _begin_period(self, capacity: float, is_before_rollout: bool) -> None:
+        """Closes the period before: its load explains longer durations where it is over the typical one."""
+        self.load = self.period_count / max(1.0, capacity)
+        self.period_count = 0
+        if is_before_rollout:
+            self.typical_load = DECAY * ((self.typical_load or self.load) + self.load)
+        self.load_increased = self.load > LOAD_INCREASE_RATIO * self.typical_load
--- a/brookreach/verdict/plan.py
+++ b/brookreach/verdict/plan.py
@@ -34,7 +34,7 @@
 
 def failing_threshold(judge: CanaryAnalysis, seen: Seen) -> float:
     """Of the failures charts: they climb from a failure only, so they stand lower by the rate of failures."""
-    return judge.thresholds.own + math.log(max([MIN_BASELINE_RATE, *seen.failures]))
+    return judge.thresholds.local + math.log(max([MIN_BASELINE_RATE, *seen.failures]))
 
 
 def stages_of(start: ifc.BalancerSettings, judge: CanaryAnalysis, seen: Seen) -> tuple[Stage, ...]:
@@ -47,7 +47,7 @@
         opens = shares[min(at + 1, len(shares) - 1)]
         least = BOOT_MS + WARM_UP_MS
         last = at + 1 == len(shares)
-        most = least + (1000.0 if last else judge.thresholds.wait_ms * opens)
+        most = least + (1000.0 if last else judge.thresholds.promotion_wait_ms * opens)
         cap = start.exposure.caps[min(at, len(start.exposure.caps) - 1)] if start.exposure.caps else share
         gets = min(share, cap)
         # While the stage's machines start, the share of the stage before goes on.
@@ -75,12 +75,12 @@
     kept = 1.0
     overall = math.fsum(share * rate for share, rate in zip(seen.shares, seen.failures, strict=True))
     streams = [(share, rate, FAILURE_RATE_INCREASE) for share, rate in zip(seen.shares, seen.failures, strict=True)]
-    streams.append((1.0, overall, judge.thresholds.rise))
+    streams.append((1.0, overall, judge.thresholds.overall_rate_increase))
     weight, failing = (1.0 - seen.alike) ** 2, failing_threshold(judge, seen)
     for share, rate, rise in streams:
         own = outcomes * share
         kept *= 1.0 - _crossed(failure_steps(rate, max(MIN_BASELINE_RATE, rate), rise), failing, own)
-        kept *= 1.0 - _crossed(speed_steps(1.0, seen.spread, weight), judge.thresholds.own, own)
+        kept *= 1.0 - _crossed(speed_steps(1.0, seen.spread, weight), judge.thresholds.local, own)
     return 1.0 - kept**start.place.marshals
 
 
@@ -99,7 +99,7 @@
     names = [method.name for method in start.methods]
     overall = math.fsum(s * r for s, r in zip(seen.shares, seen.failures, strict=True))
     charts: list[tuple[list[tuple[float, float]], float]] = []  # steps, outcomes of one marshal
-    limit = judge.thresholds.own if what == "work" else failing_threshold(judge, seen)
+    limit = judge.thresholds.local if what == "work" else failing_threshold(judge, seen)
     if what == "work":
         steps = speed_steps(size, seen.spread, (1.0 - seen.alike) ** 2)
         charts.append((steps, outcomes))
@@ -107,7 +107,12 @@
         bound = limit / max(1e-12, 0.5 * shift * shift)
     elif what == "all":
         charts.append(
-            (failure_steps(min(1.0, overall + size), max(MIN_BASELINE_RATE, overall), judge.thresholds.rise), outcomes)
+            (
+                failure_steps(
+                    min(1.0, overall + size), max(MIN_BASELINE_RATE, overall), judge.thresholds.overall_rate_increase
+                ),
+                outcomes,
+            )
         )
         bound = _bound(size, max(MIN_BASELINE_RATE, overall), limit)
     else:
@@ -120,7 +125,9 @@
             )
         )
         mixed = min(1.0, overall + share * size)
-        charts.append((failure_steps(mixed, max(MIN_BASELINE_RATE, overall), judge.thresholds.rise), outcomes))
+        charts.append(
+            (failure_steps(mixed, max(MIN_BASELINE_RATE, overall), judge.thresholds.overall_rate_increase), outcomes)
+        )
         bound = _bound(size, max(MIN_BASELINE_RATE, rate), limit) / max(1e-9, share)
     alarm = max(_crossed(steps, limit, own) for steps, own in charts)
     # The best chart's own time, in outcomes of the marshal over all methods.
@@ -161,15 +168,15 @@
     charts = 2 * (len(names) + 1)
     # Wald's bound: a chance of exp(-threshold) a climb, over all charts and marshals. A failures chart's
     # climbs begin with a failure, a speed chart's with any outcome.
-    bound = min(1.0, charts * outcomes * start.place.marshals * math.exp(-judge.thresholds.own))
+    bound = min(1.0, charts * outcomes * start.place.marshals * math.exp(-judge.thresholds.local))
     return Plan(
         start.stated,
         start.place.marshals,
-        judge.thresholds.own,
+        judge.thresholds.local,
         failing_threshold(judge, seen),
-        judge.thresholds.tallied,
-        judge.thresholds.rise,
-        judge.thresholds.trust,
+        judge.thresholds.fleet,
+        judge.thresholds.overall_rate_increase,
+        judge.thresholds.promotion_confidence,
         stages,
         alarm,
         bound,
--- a/brookreach/verdict/replay.py
+++ b/brookreach/verdict/replay.py
@@ -110,7 +110,7 @@
             elif isinstance(act, ifc.LogLine) and act.text.startswith(f"back {wave.build}:") and not found.crossed:
                 found.crossed, found.crossed_ms = act.text, note.now - offered
         acts.clear()
-    found.threshold = judge.thresholds.own
+    found.threshold = judge.thresholds.local
     found.trust = {chart_name(wave, key): chart.cumulative_sum for key, chart in judge.charts.items()}
     return found
 
