--- a/brookreach/policy/balancer.py
+++ b/brookreach/policy/balancer.py
@@ -67,11 +67,11 @@
                     "beat" if token % 4 == EVALUATION_TIMER else "rang", now, token // 4, token % 4
                 )
             case OutcomeCounts():
-                self.canary_analysis.send("tally", now, event)
+                self.canary_analysis.send("record_counts", now, event)
             case RolloutStatus():
                 if event.reply:
-                    self.canary_analysis.send("reply", now, event.ending)
+                    self.canary_analysis.send("handle_vote_reply", now, event.ending)
                 if event.ending == Outcome.OK:
                     self.request_router.send("told", now, event)
-                    self.canary_analysis.send("told", now, event)
+                    self.canary_analysis.send("update_rollout", now, event)
         return self.flush()
--- a/brookreach/policy/baseline_outcomes.py
+++ b/brookreach/policy/baseline_outcomes.py
@@ -1,29 +1,46 @@
-"""The last outcomes of a method on the earlier build."""
+"""The last outcomes of the baseline build, one method at a time, with which a candidate build is compared."""
 
 from __future__ import annotations
 
 from collections import deque
 
+BaselineOutcome = tuple[float, float, float, bool, bool]
+"""Sent (ms), ended (ms), natural log of the normalised duration, whether it was an error, and whether a failure.
 
-class BaselineOutcomes:
-    """The earlier build's last outcomes of one method: (when sent, when ended, log time, error, failure).
-
-    Fewer than `enough` tell no rate; answers older than `fresh_ms` are looked at only while they are fewer.
-    """
+A late answer is a failure and no error.
+"""
 
-    def __init__(self, most: int, enough: int, fresh_ms: float, kept_ms: float) -> None:
-        self.kept: deque[tuple[float, float, float, bool, bool]] = deque(maxlen=most)
-        self.enough, self.fresh_ms, self.kept_ms = enough, fresh_ms, kept_ms
 
-    def errors(self) -> float:
-        return sum([one[3] for one in self.kept]) / len(self.kept) if len(self.kept) >= self.enough else 0.0
-
-    def beside(self, now: float) -> list[tuple[float, float, float, bool, bool]]:
-        """The newest ones, of the same seconds."""
-        out: list[tuple[float, float, float, bool, bool]] = []
-        for one in reversed(self.kept):
-            old = now - one[1] > (self.fresh_ms if len(out) >= self.enough else self.kept_ms)
-            if old or len(out) == 2 * self.enough:
+class BaselineOutcomes:
+    """A bounded history of one method's outcomes on the baseline build."""
+
+    def __init__(self, capacity: int, min_outcomes: int, fresh_ms: float, max_age_ms: float) -> None:
+        """Creates an empty history.
+
+        Args:
+            capacity: How many outcomes are kept at most.
+            min_outcomes: How many outcomes a rate needs.
+            fresh_ms: Older outcomes are used only until there are `min_outcomes`.
+            max_age_ms: Outcomes older than this are not used at all.
+        """
+        self.outcomes: deque[BaselineOutcome] = deque(maxlen=capacity)
+        self.min_outcomes = min_outcomes
+        self.fresh_ms = fresh_ms
+        self.max_age_ms = max_age_ms
+
+    def error_rate(self) -> float:
+        """Returns the share of errors, or 0 while there are too few outcomes to tell."""
+        if len(self.outcomes) < self.min_outcomes:
+            return 0.0
+        return sum([is_error for _, _, _, is_error, _ in self.outcomes]) / len(self.outcomes)
+
+    def recent(self, now: float) -> list[BaselineOutcome]:
+        """Returns the newest outcomes, newest first: those of the same seconds as the candidate's."""
+        recent: list[BaselineOutcome] = []
+        for outcome in reversed(self.outcomes):
+            _, ended_ms, _, _, _ = outcome
+            is_old = now - ended_ms > (self.fresh_ms if len(recent) >= self.min_outcomes else self.max_age_ms)
+            if is_old or len(recent) == 2 * self.min_outcomes:
                 break
-            out.append(one)
-        return out
+            recent.append(outcome)
+        return recent
--- a/brookreach/policy/node_registry.py
+++ b/brookreach/policy/node_registry.py
@@ -68,7 +68,7 @@
             if not self.nodes[key].sent:  # should it come back, it is a new node
                 del self.entries[key], self.nodes[key]
         self.survey_at = now
-        self.judge.send("listed", [e for e in self.entries.values() if e.state == NodeState.READY])
+        self.judge.send("update_nodes", [e for e in self.entries.values() if e.state == NodeState.READY])
 
     def told(self, now: float, news: RolloutStatus) -> None:
         low = math.inf if news.phase in ROLLBACK_PHASES else min([e.build for e in self.entries.values()] or [0])
--- a/brookreach/policy/request_router.py
+++ b/brookreach/policy/request_router.py
@@ -207,7 +207,7 @@
             for key in (self.side(entry.build), NEAR if entry.zone == self.place.zone else FAR):
                 self.drags[key] = 0.93 * self.drags.get(key, 0.0) + drag
         self.judge.send(
-            "outcome",
+            "record_outcome",
             now,
             entry,
             rpc.method,
@@ -228,7 +228,7 @@
             self.send("ask" if again else "give_up", now, rpc)
 
     def beat(self, now: float, *_: int) -> None:
-        self.judge.send("decide", now)
+        self.judge.send("evaluate", now)
         self.acts.append(SetTimer(EVALUATION_INTERVAL_MS, EVALUATION_TIMER))
         most = sorted(self.nodes.values(), key=lambda node: node.failed / (node.tried + 1.0))
         most = most[: math.ceil(0.75 * len(most))]  # the few that are sick don't say what is usual
--- a/brookreach/verdict/notes.py
+++ b/brookreach/verdict/notes.py
@@ -22,7 +22,7 @@
     C crossed.
 
     `node` is an index into the record's entries for O; `method`, `sent`, `ending`, `took`, `unit`, `flow`
-    are those of `CanaryAnalysis.outcome`.
+    are those of `CanaryAnalysis.record_outcome`.
     """
 
     now: float
--- a/brookreach/verdict/plan.py
+++ b/brookreach/verdict/plan.py
@@ -28,7 +28,7 @@
 def judge_of(start: ifc.BalancerSettings, seen: Seen) -> CanaryAnalysis:
     """The judge whose thresholds the wave will have."""
     judge = CanaryAnalysis(deque(), [], start)
-    judge.plan(seen.rpcs_per_s)
+    judge.set_thresholds(seen.rpcs_per_s)
     return judge
 
 
@@ -211,7 +211,7 @@
             else "no time would at these rises: it lies below what the charts look for"
         )
         out.append(f"{row.what} {row.size:g} can't be told apart: released in {row.miss:.2f} of waves, {how}")
-    if judge.few:
+    if judge.low_traffic:
         out.append(
             "this marshal sees few: its own charts are backed by the platform's tallies, which this plan leaves out"
         )
--- a/brookreach/verdict/replay.py
+++ b/brookreach/verdict/replay.py
@@ -58,17 +58,17 @@
 def _play(judge: CanaryAnalysis, wave: Wave, note: Note, entry: ifc.NodeEntry | None) -> None:
     match note.what:
         case "L":
-            judge.listed([wave.entries[index] for index in note.nodes])
+            judge.update_nodes([wave.entries[index] for index in note.nodes])
         case "N" if note.news is not None:
-            judge.told(note.now, note.news)
+            judge.update_rollout(note.now, note.news)
         case "R":
-            judge.reply(note.now, ifc.Outcome(note.ending))
+            judge.handle_vote_reply(note.now, ifc.Outcome(note.ending))
         case "T" if note.tally is not None:
-            judge.tally(note.now, note.tally)
+            judge.record_counts(note.now, note.tally)
         case "D":
-            judge.decide(note.now)
-        case "O" if entry is not None and judge.before:
-            judge.outcome(
+            judge.evaluate(note.now)
+        case "O" if entry is not None and judge.baselines:
+            judge.record_outcome(
                 note.now,
                 entry,
                 note.method,
@@ -99,7 +99,7 @@
         _play(judge, wave, note, entry)
         if entry is not None and note.ending not in NEVER_EXECUTED:
             _count(found, wave, note, entry, names[note.method], start)
-        if judge.news is not None and judge.news.build == wave.build:
+        if judge.status is not None and judge.status.build == wave.build:
             for key, chart in judge.charts.items():
                 if chart.level != old.get(key):
                     levels = found.levels.setdefault(chart_name(wave, key), [])
