--- a/brookreach/policy/balancer.py
+++ b/brookreach/policy/balancer.py
@@ -1,13 +1,14 @@
-"""All decisions of a marshal, and nothing else.
+"""All decisions of a balancer, and nothing else.
 
-One `Balancer` is one life of an instance. Call `begin(now)` once, then `handle(now, event)` for each event of
-`brookreach.interface` as it comes; both return the actions to do, in order. `now` (ms) is the only clock.
+One `Balancer` is one life of a process. Call `begin(now)` once, then `handle(now, event)` for each event of
+`brookreach.interface` as it comes; both return the actions to carry out, in order. `now` (ms) is the only clock.
 
-Inside, `TrackedNode`, `RequestRouter`, which places RPCs, and `CanaryAnalysis` of builds are actors. They talk
-only by notes put into inboxes, which the one loop in `Balancer` empties in their order.
+Inside, `TrackedNode`, `RequestRouter` and `CanaryAnalysis` are actors. They reach each other only by messages put into
+inboxes, which the one loop in `Balancer` delivers in the order of sending.
 """
 
 from collections import deque
+from typing import Final
 
 from brookreach.interface import (
     Action,
@@ -28,43 +29,52 @@
 from brookreach.policy.canary_analysis import CanaryAnalysis
 from brookreach.policy.common import EVALUATION_INTERVAL_MS
 from brookreach.policy.request_router import RequestRouter
-from brookreach.policy.timer_tokens import EVALUATION_TIMER
+from brookreach.policy.timer_tokens import EVALUATION_TIMER, TIMER_KINDS
 
-ROUTER_MESSAGES = {
-    RpcReceived: "taken_in",
-    DeadlineShortened: "shortened",
-    RpcCancelled: "gone",
-    PickEnded: "ended",
-    NodeList: "listing",
+ROUTER_MESSAGES: Final = {
+    RpcReceived: "receive_rpc",
+    DeadlineShortened: "shorten_deadline",
+    RpcCancelled: "cancel_rpc",
+    PickEnded: "record_outcome",
+    NodeList: "update_node_list",
 }
+"""The messages that tell the router of events."""
 
 
 class Balancer:
-    def __init__(self, start: BalancerSettings):
-        self.start, self.acts = start, list[Action]()
-        self.due: WorkQueue = deque()
+    """Takes events and returns the actions that its actors decide on."""
+
+    def __init__(self, settings: BalancerSettings):
+        self.settings = settings
+        self.actions = list[Action]()
+        self.work_queue: WorkQueue = deque()
 
     def begin(self, now: float) -> list[Action]:
-        self.canary_analysis = CanaryAnalysis(self.due, self.acts, self.start)
-        self.request_router = RequestRouter(self.due, self.acts, self.start, now, self.canary_analysis)
-        self.acts.append(SetTimer(EVALUATION_INTERVAL_MS, EVALUATION_TIMER))
-        return self.flush()
+        """Starts the actors and the periodic evaluation."""
+        self.canary_analysis = CanaryAnalysis(self.work_queue, self.actions, self.settings)
+        self.request_router = RequestRouter(self.work_queue, self.actions, self.settings, now, self.canary_analysis)
+        self.actions.append(SetTimer(EVALUATION_INTERVAL_MS, EVALUATION_TIMER))
+        return self.deliver_messages()
 
-    def flush(self) -> list[Action]:
-        while self.due:
-            part = self.due.popleft()
-            note, args = part.inbox.popleft()
-            getattr(part, note)(*args)
-        out, self.acts[:] = self.acts[:], []
-        return out
+    def deliver_messages(self) -> list[Action]:
+        """Delivers all messages, also those that are sent meanwhile, and returns the actions that came of them."""
+        while self.work_queue:
+            actor = self.work_queue.popleft()
+            message, args = actor.inbox.popleft()
+            getattr(actor, message)(*args)
+        actions = self.actions[:]
+        self.actions[:] = []
+        return actions
 
     def handle(self, now: float, event: Event) -> list[Action]:
+        """Handles one event."""
         match event:
             case RpcReceived() | DeadlineShortened() | RpcCancelled() | PickEnded() | NodeList():
                 self.request_router.send(ROUTER_MESSAGES[type(event)], now, event)
             case TimerFired(token=token):
+                is_evaluation = token % TIMER_KINDS == EVALUATION_TIMER
                 self.request_router.send(
-                    "beat" if token % 4 == EVALUATION_TIMER else "rang", now, token // 4, token % 4
+                    "evaluate" if is_evaluation else "handle_timer", now, token // TIMER_KINDS, token % TIMER_KINDS
                 )
             case OutcomeCounts():
                 self.canary_analysis.send("record_counts", now, event)
@@ -72,6 +82,6 @@
                 if event.reply:
                     self.canary_analysis.send("handle_vote_reply", now, event.ending)
                 if event.ending == Outcome.OK:
-                    self.request_router.send("told", now, event)
+                    self.request_router.send("update_rollout", now, event)
                     self.canary_analysis.send("update_rollout", now, event)
-        return self.flush()
+        return self.deliver_messages()
--- a/brookreach/policy/baseline_outcomes.py
+++ b/brookreach/policy/baseline_outcomes.py
@@ -3,12 +3,14 @@
 from __future__ import annotations
 
 from collections import deque
+from typing import Final
 
 BaselineOutcome = tuple[float, float, float, bool, bool]
 """Sent (ms), ended (ms), natural log of the normalised duration, whether it was an error, and whether a failure.
 
 A late answer is a failure and no error.
 """
+ENDED_MS: Final = 1  # index into a `BaselineOutcome`
 
 
 class BaselineOutcomes:
@@ -38,8 +40,7 @@
         """Returns the newest outcomes, newest first: those of the same seconds as the candidate's."""
         recent: list[BaselineOutcome] = []
         for outcome in reversed(self.outcomes):
-            _, ended_ms, _, _, _ = outcome
-            is_old = now - ended_ms > (self.fresh_ms if len(recent) >= self.min_outcomes else self.max_age_ms)
+            is_old = now - outcome[ENDED_MS] > (self.fresh_ms if len(recent) >= self.min_outcomes else self.max_age_ms)
             if is_old or len(recent) == 2 * self.min_outcomes:
                 break
             recent.append(outcome)
--- a/brookreach/policy/canary_charts.py
+++ b/brookreach/policy/canary_charts.py
@@ -14,7 +14,7 @@
     RolloutStatus,
 )
 from brookreach.policy.actor import Actor, WorkQueue
-from brookreach.policy.baseline_outcomes import BaselineOutcome, BaselineOutcomes
+from brookreach.policy.baseline_outcomes import ENDED_MS, BaselineOutcome, BaselineOutcomes
 from brookreach.policy.common import NEVER_EXECUTED, ROLLBACK_PHASES, WARM_UP_MS, is_low_traffic, slow_start_factor
 from brookreach.policy.cusum import (
     ALL_METHODS,
@@ -115,7 +115,10 @@
             return
         if status.phase in ROLLBACK_PHASES or (
             status.phase == RolloutPhase.RELEASED
-            and (len(baseline.outcomes) < MIN_BASELINE_OUTCOMES or now - baseline.outcomes[-1][1] > BASELINE_MAX_AGE_MS)
+            and (
+                len(baseline.outcomes) < MIN_BASELINE_OUTCOMES
+                or now - baseline.outcomes[-1][ENDED_MS] > BASELINE_MAX_AGE_MS
+            )
         ):
             return  # decided, or nothing left to compare with
         self.outcome_count += 1
--- a/brookreach/policy/request_router.py
+++ b/brookreach/policy/request_router.py
@@ -1,9 +1,10 @@
-"""`RequestRouter` places RPCs: an actor that `brookreach.policy.balancer` drives.
+"""Routes each RPC from its arrival to its final answer: retries, hedged picks, load shedding and deadlines.
 
-`NodeRegistry` knows the nodes.
+`RequestRouter` is an actor that `brookreach.policy.balancer` drives.
 """
 
 import math
+from typing import Final
 
 from brookreach.interface import (
     Abort,
@@ -12,9 +13,7 @@
     DeadlineShortened,
     DedupScope,
     Idempotency,
-    NodeEntry,
     Outcome,
-    Pick,
     PickEnded,
     PushBack,
     RpcCancelled,
@@ -23,218 +22,210 @@
 )
 from brookreach.policy.actor import WorkQueue
 from brookreach.policy.canary_analysis import CanaryAnalysis
-from brookreach.policy.common import EVALUATION_INTERVAL_MS, is_candidate, slow_start_factor
-from brookreach.policy.cusum import MIN_BASELINE_RATE
-from brookreach.policy.node_registry import THROUGHPUT_WINDOW_MS, NodeRegistry
+from brookreach.policy.common import is_candidate, slow_start_factor
+from brookreach.policy.node_registry import (
+    LOCAL_ZONE,
+    OTHER_ZONES,
+    OVERLOAD_LATE_SHARE,
+    RECEIVED,
+    THROUGHPUT_WINDOW_MS,
+)
+from brookreach.policy.node_selection import AVERAGE_WEIGHT, NodeSelection
 from brookreach.policy.retry_rules import dedup_window_left_ms, is_pick_allowed, possibly_executed_picks
-from brookreach.policy.routed_rpc import RoutedRpc
+from brookreach.policy.routed_rpc import PICK_ENTRY, PICK_OUTCOME, PICK_SENT_MS, RoutedRpc
 from brookreach.policy.sliding_window import SlidingWindowSum
-from brookreach.policy.timer_tokens import DEADLINE_TIMER, EVALUATION_TIMER, HEDGE_TIMER, RETRY_TIMER
-from brookreach.policy.tracked_node import FAILING, UNRESPONSIVE
+from brookreach.policy.timer_tokens import (
+    DEADLINE_TIMER,
+    RETRY_TIMER,
+    TIMER_KINDS,
+)
 
-HARMLESS = {
-    *((Idempotency.IDEMPOTENT, group) for group in DedupScope),
+REPEATABLE: Final = {
+    *((Idempotency.IDEMPOTENT, scope) for scope in DedupScope),
     (Idempotency.TOKENED, DedupScope.ALL),
-}  # run twice
-HOLD_MS, FEW, MORE = 50.0, 2, 12  # nodes drawn for an RPC at first, and when none of the few can take it
-REST_MS, PACE_MS, LEAST, PRESSED = 30.0, 2000.0, 6, 0.6  # answers a second; RPCs, and of a soft deadline
-NEAR, FAR = -1, -2  # as keys beside builds: the nodes of this zone, drawn twice while quick, and the others
-
-
-class RequestRouter(NodeRegistry):
-    """Calls for bids, picks by two random choices, sends again, pushes back, aborts."""
-
-    def __init__(self, due: WorkQueue, out: list[Action], start: BalancerSettings, now: float, judge: CanaryAnalysis):
-        super().__init__(due, out, start, now, judge)
-        self.methods, self.rpcs, self.waiting = start.methods, dict[int, RoutedRpc](), dict[int, float]()
-        self.usual_ms, self.usual_cost = [m.soft_ms / 5.0 for m in start.methods], dict[int, float]()
-        self.rate, self.carried = (
-            0.0,
-            SlidingWindowSum(THROUGHPUT_WINDOW_MS, 16),
-        )  # cost a ms and unit of size, of warm nodes
-        self.spare, self.usual, self.suspect = 1.0, MIN_BASELINE_RATE, True  # spare: second copies
-        self.flow, self.good = SlidingWindowSum(1000.0, 10), SlidingWindowSum(PACE_MS, 8)  # taken; answered in time
-
-    def taken_in(self, now: float, event: RpcReceived) -> None:
-        rpc = self.rpcs[event.rpc_id] = RoutedRpc(now, event, self.methods[event.method])
-        taken = self.ring(rpc.method, 0)
-        taken.add(now, event.unread_ms < 0.5 * taken.width)  # read late, its window may be over
-        self.flow.add(now)
-        self.spare = min(3.0, self.spare + 0.1)
-        if rpc.cost:
-            usual = self.usual_cost.get(rpc.method, rpc.cost)
-            self.usual_cost[rpc.method] = usual + 0.02 * (rpc.cost - usual)
-        self.acts.append(SetTimer(max(0.0, rpc.end - now - 6.0), 4 * rpc.id + DEADLINE_TIMER))
-        jam = self.crowded(now, rpc) if self.few else self.chance.random() < min(0.9, 3.0 * (self.late(now) - 0.35))
-        if jam or len(self.rpcs) > self.permits.max_open or rpc.end <= now + 6.0:
-            return self.give_up(now, rpc)  # at once: what can't be answered in time only makes others late
-        self.waiting[rpc.id] = rpc.soft
-        self.send("ask", now, rpc)
-
-    def shortened(self, now: float, event: DeadlineShortened) -> None:
-        if (rpc := self.rpcs.get(event.rpc_id)) and event.deadline_ms < rpc.end:
-            rpc.end = event.deadline_ms
-            self.acts.append(SetTimer(max(0.0, rpc.end - now - 6.0), 4 * rpc.id + DEADLINE_TIMER))
-
-    def crowded(self, now: float, rpc: RoutedRpc) -> bool:
-        """Whether more wait, those past it left out, than are answered in PRESSED of the soft deadline."""
-        while self.waiting and now >= self.waiting[old := next(iter(self.waiting))]:
-            del self.waiting[old]
-        can = PRESSED * rpc.facts.soft_ms * self.good.total(now) / PACE_MS
-        return now > self.began + 2.0 * PACE_MS and len(self.waiting) >= max(LEAST, can)
-
-    def typical(self, rpc: RoutedRpc) -> float:
-        usual = self.usual_cost.get(rpc.method)
-        return self.usual_ms[rpc.method] * (rpc.cost / usual if rpc.cost and usual else 1.0)
-
-    def ask(self, now: float, rpc: RoutedRpc, most: int = FEW) -> None:
-        self.survey(now)
-        sides = self.sides(now, rpc)
-        if most == FEW and sides:
-            sides = self.chance.choices(
-                sides,
-                weights=[
-                    side.sums[-1] * math.exp(-self.drags.get(self.side(side.entries[0].build), 0.0))
-                    for side, _ in sides
-                ],
-            )
-        near = self.drags.get(NEAR, 0.0) - self.drags.get(FAR, 0.0) <= 8.0 * self.prices.cross_zone
-        few = dict.fromkeys(
-            entry.node
-            for both in sides
-            for side in (both if near else 2 * both[:1])
-            for entry in side.draw(self.chance, most)
+}
+"""(idempotency, dedup scope) of methods whose RPCs a client may send again although they may have run."""
+DEADLINE_MARGIN_MS: Final = 6.0  # an RPC is given up so long before its deadline
+MIN_RETRY_MS: Final = 10.0  # before the deadline: later, no further pick is sent
+RETRY_DELAY_MS: Final = 50.0  # an RPC that no node can take is tried again after it
+MAX_PUSH_BACK_MS: Final = 500.0
+ANSWER_RATE_WINDOW_MS: Final = 2000.0
+MIN_QUEUE_LIMIT: Final = 6  # RPCs
+QUEUE_LIMIT_SHARE: Final = 0.6  # of a soft deadline: as many RPCs may wait as are answered in it
+NEARLY_LATE_SHARE: Final = 0.6  # of the soft deadline: longer durations count as late
+HEDGE_BUDGET_PER_RPC: Final = 0.1
+MAX_HEDGE_BUDGET: Final = 3.0
+SLOWDOWN_WEIGHT: Final = 0.07
+SLOWDOWN_DECAY: Final = 0.93
+
+
+class RequestRouter(NodeSelection):
+    """Decides about each RPC: pick, further pick, push back or abort.
+
+    Attributes:
+        rpcs: RPCs without a final answer, and those with a pending pick.
+        unanswered: The soft deadline (ms) of each RPC without a final answer, in the order of arrival.
+        hedge_budget: How many hedged picks may be sent now; it grows with each RPC.
+        received: RPCs of the last second.
+        timely_answers: In low-traffic mode, answers before their soft deadline.
+    """
+
+    def __init__(
+        self,
+        work_queue: WorkQueue,
+        actions: list[Action],
+        settings: BalancerSettings,
+        now: float,
+        canary_analysis: CanaryAnalysis,
+    ):
+        super().__init__(work_queue, actions, settings, now, canary_analysis)
+        self.methods = settings.methods
+        self.rpcs = dict[int, RoutedRpc]()
+        self.unanswered = dict[int, float]()
+        self.hedge_budget = 1.0
+        self.received = SlidingWindowSum(1000.0, 10)
+        self.timely_answers = SlidingWindowSum(ANSWER_RATE_WINDOW_MS, 8)
+
+    def receive_rpc(self, now: float, event: RpcReceived) -> None:
+        """Takes an RPC in and looks for a node, or pushes it back at once where it can't be answered in time."""
+        rpc = RoutedRpc(now, event, self.methods[event.method])
+        self.rpcs[event.rpc_id] = rpc
+        window = self.exposure_window(rpc.method, RECEIVED)
+        # An RPC that was read late may belong to a window that is over: it does not count.
+        window.add(now, event.unread_ms < 0.5 * window.bucket_ms)
+        self.received.add(now)
+        self.hedge_budget = min(MAX_HEDGE_BUDGET, self.hedge_budget + HEDGE_BUDGET_PER_RPC)
+        if rpc.cost_ms:
+            average = self.typical_cost_ms.get(rpc.method, rpc.cost_ms)
+            self.typical_cost_ms[rpc.method] = average + AVERAGE_WEIGHT * (rpc.cost_ms - average)
+        left_ms = max(0.0, rpc.deadline_ms - now - DEADLINE_MARGIN_MS)
+        self.actions.append(SetTimer(left_ms, TIMER_KINDS * rpc.rpc_id + DEADLINE_TIMER))
+        is_overload = (
+            self.is_queue_full(now, rpc)
+            if self.low_traffic
+            else self.rng.random() < min(0.9, 3.0 * (self.late_share(now) - OVERLOAD_LATE_SHARE))
         )
-        rpc.bids, rpc.asked, rpc.drawn = [], len(few), most
-        typical, cost = self.typical(rpc), rpc.cost or self.usual_ms[rpc.method]
-        for number in few:
-            self.nodes[number].send("call", now, rpc, cost, typical, self.rate)
-        if not few:
-            self.send("chosen", now, rpc)
-
-    def bid(self, now: float, rpc: RoutedRpc, *offer: tuple[NodeEntry, int, float]) -> None:
-        rpc.asked -= 1
-        rpc.bids.extend(offer)
-        if not rpc.asked:
-            self.send("chosen", now, rpc)
-
-    def chosen(self, now: float, rpc: RoutedRpc) -> None:
-        """The shortest wait; sick ones where all are. Where half of the trial nodes err they keep picks."""
-        well = [
-            b
-            for b in rpc.bids
-            if b[1]
-            < (UNRESPONSIVE if self.suspect and is_candidate(self.news, b[0].build) and not self.few else FAILING)
-        ]
-        if not well and rpc.drawn == FEW and self.field:
-            self.send("ask", now, rpc, MORE)
-        elif rpc.bids:
-            far, some = 1.0 + 8.0 * self.prices.cross_zone, (well or rpc.bids)[: 2 * FEW]
-            self.start_pick(now, rpc, min(some, key=lambda b: b[2] * (1.0 if b[0].zone == self.place.zone else far))[0])
-        elif not rpc.pending():
-            self.hold(now, rpc)
-
-    def start_pick(self, now: float, rpc: RoutedRpc, entry: NodeEntry) -> None:
-        write_ms = dedup_window_left_ms(rpc, now)
-        rpc.picks.append([entry, now, None])
-        if is_candidate(self.news, entry.build):  # written late, it falls into a window that later ones fill
-            ring = self.ring(rpc.method, entry.build)
-            ring.add(now)
-            write_ms = min(write_ms, ring.width)
-        self.nodes[entry.node].send("took", now, rpc.cost or self.usual_ms[rpc.method])
-        self.acts.append(Pick(rpc.id, entry.node, rpc.end - now - 5.0, write_ms, REST_MS))
-        if len(rpc.picks) == 1 and self.permits.second_copies and rpc.facts.repeat == Idempotency.IDEMPOTENT:
-            after = max(3.0 * self.typical(rpc), 0.25 * rpc.facts.soft_ms)
-            self.acts.append(SetTimer(after, 4 * rpc.id + HEDGE_TIMER))
-
-    def hold(self, now: float, rpc: RoutedRpc) -> None:
-        if now + 0.4 * rpc.facts.soft_ms > rpc.soft or len(rpc.picks) >= self.permits.max_picks:
-            return self.give_up(now, rpc)
-        self.acts.append(SetTimer(HOLD_MS, 4 * rpc.id + RETRY_TIMER))
+        if is_overload or len(self.rpcs) > self.allowed_actions.max_open or rpc.deadline_ms <= now + DEADLINE_MARGIN_MS:
+            # At once: an RPC that can't be answered in time only delays others.
+            self.give_up(now, rpc)
+            return
+        self.unanswered[rpc.rpc_id] = rpc.soft_deadline_ms
+        self.send("request_offers", now, rpc)
+
+    def shorten_deadline(self, now: float, event: DeadlineShortened) -> None:
+        """Handles a deadline that has become earlier."""
+        rpc = self.rpcs.get(event.rpc_id)
+        if rpc and event.deadline_ms < rpc.deadline_ms:
+            rpc.deadline_ms = event.deadline_ms
+            left_ms = max(0.0, rpc.deadline_ms - now - DEADLINE_MARGIN_MS)
+            self.actions.append(SetTimer(left_ms, TIMER_KINDS * rpc.rpc_id + DEADLINE_TIMER))
+
+    def is_queue_full(self, now: float, rpc: RoutedRpc) -> bool:
+        """Whether as many RPCs wait as are answered in a share of the soft deadline; those past theirs do not count."""
+        while self.unanswered and now >= self.unanswered[oldest := next(iter(self.unanswered))]:
+            del self.unanswered[oldest]
+        answerable = (
+            QUEUE_LIMIT_SHARE * rpc.method_settings.soft_ms * self.timely_answers.total(now) / ANSWER_RATE_WINDOW_MS
+        )
+        return now > self.started_ms + 2.0 * ANSWER_RATE_WINDOW_MS and len(self.unanswered) >= max(
+            MIN_QUEUE_LIMIT, answerable
+        )
+
+    def hold_rpc(self, now: float, rpc: RoutedRpc) -> None:
+        """Tries an RPC that no node can take again later, or gives it up where an answer would come too late."""
+        if (
+            now + 0.4 * rpc.method_settings.soft_ms > rpc.soft_deadline_ms
+            or len(rpc.picks) >= self.allowed_actions.max_picks
+        ):
+            self.give_up(now, rpc)
+            return
+        self.actions.append(SetTimer(RETRY_DELAY_MS, TIMER_KINDS * rpc.rpc_id + RETRY_TIMER))
 
     def give_up(self, now: float, rpc: RoutedRpc) -> None:
-        its, later = rpc.facts, min(self.permits.come_back_ms, 500.0) * self.permits.come_back
-        again = not possibly_executed_picks(rpc) or (
-            later < dedup_window_left_ms(rpc, now) and (its.repeat, its.group) in HARMLESS
+        """Answers an RPC without a node's answer: a push back where the client may send it again, else an abort."""
+        method = rpc.method_settings
+        retry_after_ms = min(self.allowed_actions.come_back_ms, MAX_PUSH_BACK_MS) * self.allowed_actions.come_back
+        is_repeatable = not possibly_executed_picks(rpc) or (
+            retry_after_ms < dedup_window_left_ms(rpc, now) and (method.repeat, method.group) in REPEATABLE
         )
-        self.acts.append(PushBack(rpc.id, later) if again else Abort(rpc.id))
+        self.actions.append(PushBack(rpc.rpc_id, retry_after_ms) if is_repeatable else Abort(rpc.rpc_id))
         self.finish(rpc)
 
     def finish(self, rpc: RoutedRpc) -> None:
-        rpc.done = True
-        self.waiting.pop(rpc.id, None)
-        if not rpc.pending():
-            self.rpcs.pop(rpc.id, None)
-
-    def rang(self, now: float, rpc_id: int, what: int) -> None:
+        """Marks an RPC as done, and forgets it once no pick is pending."""
+        rpc.is_done = True
+        self.unanswered.pop(rpc.rpc_id, None)
+        if not rpc.has_pending_pick():
+            self.rpcs.pop(rpc.rpc_id, None)
+
+    def handle_timer(self, now: float, rpc_id: int, kind: int) -> None:
+        """Handles a timer of an RPC."""
         rpc = self.rpcs.get(rpc_id)
-        if rpc is None or rpc.done:
+        if rpc is None or rpc.is_done:
             return
-        if what == DEADLINE_TIMER:
+        if kind == DEADLINE_TIMER:
             self.give_up(now, rpc)
-        elif what == RETRY_TIMER and not rpc.pending():
-            self.send("ask", now, rpc)
-        elif rpc.pending() and len(rpc.picks) == 1 and self.spare >= 1.0:
-            self.spare -= 1.0
-            self.send("ask", now, rpc)
-
-    def gone(self, now: float, event: RpcCancelled) -> None:
+        elif kind == RETRY_TIMER and not rpc.has_pending_pick():
+            self.send("request_offers", now, rpc)
+        elif rpc.has_pending_pick() and len(rpc.picks) == 1 and self.hedge_budget >= 1.0:
+            self.hedge_budget -= 1.0
+            self.send("request_offers", now, rpc)
+
+    def cancel_rpc(self, now: float, event: RpcCancelled) -> None:
+        """Handles a client that has left."""
         if event.rpc_id in self.rpcs:
             self.finish(self.rpcs[event.rpc_id])
 
-    def ended(self, now: float, event: PickEnded) -> None:
+    def record_outcome(self, now: float, event: PickEnded) -> None:
+        """Learns from a pick's outcome, and ends its RPC, tries another node or gives up."""
         rpc = self.rpcs.get(event.rpc_id)
         if rpc is None or event.pick_index >= len(rpc.picks):
             return
-        pick, typical = rpc.picks[event.pick_index], self.typical(rpc)
-        entry, pick[2] = pick[0], event.outcome
-        long = self.long(now, typical, rpc.facts.soft_ms, entry.build)
-        self.nodes[entry.node].send("ended", now, event, entry, pick[1], typical, long, self.usual)
-        if event.outcome == Outcome.OK:
-            if self.few and event.is_final and now < rpc.soft:
-                self.good.add(now)
-            work = min(event.duration_ms, 0.5 * rpc.facts.soft_ms)  # queues are no work
-            self.usual_ms[rpc.method] += 0.02 * (work - self.usual_ms[rpc.method])
-            if slow_start_factor(entry, now - THROUGHPUT_WINDOW_MS, self.guards) >= 1.0:
-                self.carried.add(now, rpc.cost or self.usual_ms[rpc.method])
-            if self.exposure.one_way and rpc.key and is_candidate(self.news, entry.build):
-                self.one_way[rpc.key] = max(entry.build, self.one_way.get(rpc.key, 0))
-        if not self.few and event.outcome in (Outcome.OK, Outcome.FULL, Outcome.TIMEOUT):
-            self.ends.add(now)
-            self.lates.add(now, event.outcome != Outcome.OK or event.duration_ms > 0.6 * rpc.facts.soft_ms)
-        if self.few and event.outcome in (Outcome.OK, Outcome.TIMEOUT):
-            drag = 0.07 * math.log(max(1.0, event.duration_ms / typical))
-            for key in (self.side(entry.build), NEAR if entry.zone == self.place.zone else FAR):
-                self.drags[key] = 0.93 * self.drags.get(key, 0.0) + drag
-        self.judge.send(
+        pick = rpc.picks[event.pick_index]
+        entry = pick[PICK_ENTRY]
+        outcome = event.outcome
+        pick[PICK_OUTCOME] = outcome
+        soft_ms = rpc.method_settings.soft_ms
+        typical_ms = self.expected_ms(rpc)
+        slow_ms = self.slow_pick_ms(now, typical_ms, soft_ms, entry.build)
+        self.nodes[entry.node].send(
+            "record_outcome", now, event, entry, pick[PICK_SENT_MS], typical_ms, slow_ms, self.typical_failure_rate
+        )
+        if outcome == Outcome.OK:
+            if self.low_traffic and event.is_final and now < rpc.soft_deadline_ms:
+                self.timely_answers.add(now)
+            # Longer answers have waited in queues, which is no cost of the method.
+            work_ms = min(event.duration_ms, 0.5 * soft_ms)
+            self.typical_ms[rpc.method] += AVERAGE_WEIGHT * (work_ms - self.typical_ms[rpc.method])
+            if slow_start_factor(entry, now - THROUGHPUT_WINDOW_MS, self.safety_limits) >= 1.0:
+                self.warm_cost.add(now, rpc.cost_ms or self.typical_ms[rpc.method])
+            if self.exposure.one_way and rpc.key and is_candidate(self.status, entry.build):
+                self.min_builds[rpc.key] = max(entry.build, self.min_builds.get(rpc.key, 0))
+        if not self.low_traffic and outcome in (Outcome.OK, Outcome.FULL, Outcome.TIMEOUT):
+            self.ended_picks.add(now)
+            self.late_picks.add(now, outcome != Outcome.OK or event.duration_ms > NEARLY_LATE_SHARE * soft_ms)
+        if self.low_traffic and outcome in (Outcome.OK, Outcome.TIMEOUT):
+            slowdown = SLOWDOWN_WEIGHT * math.log(max(1.0, event.duration_ms / typical_ms))
+            zone = LOCAL_ZONE if entry.zone == self.position.zone else OTHER_ZONES
+            for key in (self.pool_of(entry.build), zone):
+                self.log_slowdowns[key] = SLOWDOWN_DECAY * self.log_slowdowns.get(key, 0.0) + slowdown
+        self.canary_analysis.send(
             "record_outcome",
             now,
             entry,
             rpc.method,
-            pick[1],
-            event.outcome,
+            pick[PICK_SENT_MS],
+            outcome,
             event.duration_ms,
-            rpc.cost or 1.0,
-            self.flow.total(now),
+            rpc.cost_ms or 1.0,
+            self.received.total(now),
         )
-        if event.is_final or rpc.done:
+        if event.is_final or rpc.is_done:
             self.finish(rpc)
-        elif not rpc.pending():
-            again = (
-                now < rpc.end - 10.0
-                and len(rpc.picks) < self.permits.max_picks
-                and is_pick_allowed(rpc, entry, now, self.permits.second_copies)
+        elif not rpc.has_pending_pick():
+            can_retry = (
+                now < rpc.deadline_ms - MIN_RETRY_MS
+                and len(rpc.picks) < self.allowed_actions.max_picks
+                and is_pick_allowed(rpc, entry, now, self.allowed_actions.second_copies)
             )
-            self.send("ask" if again else "give_up", now, rpc)
-
-    def beat(self, now: float, *_: int) -> None:
-        self.judge.send("evaluate", now)
-        self.acts.append(SetTimer(EVALUATION_INTERVAL_MS, EVALUATION_TIMER))
-        most = sorted(self.nodes.values(), key=lambda node: node.failed / (node.tried + 1.0))
-        most = most[: math.ceil(0.75 * len(most))]  # the few that are sick don't say what is usual
-        trial = [n for n in self.nodes.values() if is_candidate(self.news, n.entry.build)]
-        self.suspect = 2 * sum([n.shy_ms > 0.0 and n.ails == FAILING for n in trial]) >= len(trial)
-        self.usual = max(MIN_BASELINE_RATE, sum([n.failed for n in most]) / (sum([n.tried for n in most]) + 1.0))
-        if self.warm_size > 0.0:
-            rate = self.carried.total(now, inner=True) / THROUGHPUT_WINDOW_MS / self.warm_size
-            self.rate += 0.02 * (rate - self.rate) if self.rate else rate
+            self.send("request_offers" if can_retry else "give_up", now, rpc)
--- a/brookreach/policy/weighted_nodes.py
+++ b/brookreach/policy/weighted_nodes.py
@@ -1,4 +1,4 @@
-"""Draws by weight."""
+"""Random choice of nodes by weight."""
 
 from __future__ import annotations
 
@@ -10,16 +10,25 @@
 
 
 class WeightedNodes:
-    """Nodes that an RPC may go to, with running sums of what they can do: it is drawn by these."""
+    """Nodes that an RPC may go to. Each is drawn as often as its weight, its present capacity, says."""
 
-    def __init__(self, able: list[tuple[NodeEntry, float]]):
-        self.entries, self.sums = [e for e, _ in able], list(accumulate(can for _, can in able))
+    def __init__(self, weighted: list[tuple[NodeEntry, float]]):
+        self.entries = [entry for entry, _ in weighted]
+        self.cumulative_weights = list(accumulate(weight for _, weight in weighted))
 
-    def draw(self, chance: random.Random, most: int) -> list[NodeEntry]:
+    def draw(self, rng: random.Random, count: int) -> list[NodeEntry]:
+        """Draws `count` nodes by weight, with replacement; none where there are no nodes."""
         return (
             [
-                self.entries[bisect(self.sums, chance.random() * self.sums[-1], 0, len(self.sums) - 1)]
-                for _ in range(most)
+                self.entries[
+                    bisect(
+                        self.cumulative_weights,
+                        rng.random() * self.cumulative_weights[-1],
+                        0,
+                        len(self.cumulative_weights) - 1,
+                    )
+                ]
+                for _ in range(count)
             ]
             if self.entries
             else []
--- a/brookreach/xds/view.py
+++ b/brookreach/xds/view.py
@@ -12,10 +12,10 @@
     desk = marshal.request_router
     nodes = []
     for node in desk.nodes.values():
-        doubt = 1.0 if now < node.shy_until else min(0.9, 0.9 * node.doubt / node.most_doubt)
+        doubt = 1.0 if now < node.ejected_until_ms else min(0.9, 0.9 * node.failure_score / node.ejection_score)
         # Before its first answers a cold node's slowness is a guess of the module's own placing.
-        slow = node.slow if node.tried else 1.0
+        slow = node.latency_ratio if node.recent_picks else 1.0
         nodes.append(NodeView(node.entry, doubt, slow))
     nodes.sort(key=lambda one: one.entry.node)
-    news: ifc.RolloutStatus | None = desk.news
-    return BalancerView(now, news, tuple(nodes), desk.rate)
+    news: ifc.RolloutStatus | None = desk.status
+    return BalancerView(now, news, tuple(nodes), desk.warm_throughput)
