--- a/brookreach/policy/canary_analysis.py
+++ b/brookreach/policy/canary_analysis.py
@@ -33,6 +33,9 @@
 
 BASELINE_CAPACITY: Final = 200  # outcomes that are kept of a method
 NODES_WAIT_MS: Final = 10_000.0  # for the nodes of a stage that have not started yet
+VOTE_RETRY_MS: Final = 500.0  # at least, after a vote that was not accepted
+DOUBT_SHARE: Final = 0.5  # of its threshold: a chart above it makes a build doubtful
+LOW_TRAFFIC_DOUBT_SHARE: Final = 0.2
 RELEASE_WAIT_MS: Final = 1000.0  # before a vote for the release, which exposes no further RPCs
 
 
@@ -101,7 +104,7 @@
             # In this balancer's own turn, so that all of them together send half of the votes the platform accepts.
             turn_ms = 2000.0 * self.balancers / max(0.1, self.voting.votes_per_s)
             offset_ms = self.ordinal * turn_ms / self.balancers
-            self.next_vote_ms = now + 500.0 + (offset_ms - now - 500.0) % turn_ms
+            self.next_vote_ms = now + VOTE_RETRY_MS + (offset_ms - now - VOTE_RETRY_MS) % turn_ms
 
     def is_confident(self, next_share: float) -> bool:
         """Whether the evidence for the build is strong enough for the share of RPCs that the next stage exposes."""
@@ -114,7 +117,8 @@
             return Verdict.BACK
         if status.phase != RolloutPhase.ON_TRIAL:
             return Verdict.NONE
-        is_doubtful = any(c.level > (0.2 if self.low_traffic else 0.5) * c.threshold for c in self.charts.values())
+        doubt_share = LOW_TRAFFIC_DOUBT_SHARE if self.low_traffic else DOUBT_SHARE
+        is_doubtful = any(c.level > doubt_share * c.threshold for c in self.charts.values())
         if self.voting.gate == PromotionGate.CLOCK:
             return Verdict.HOLD if is_doubtful else Verdict.NONE
         started_ms = [entry.started_ms for entry in self.ready_nodes if entry.build == status.build]
@@ -129,7 +133,7 @@
         waited_ms = now - max(started_ms) - WARM_UP_MS
         has_evidence_against = any(chart.cumulative_sum > 1.0 for chart in self.charts.values())
         # The fault may be that of a few nodes or of the build. Where these can't be told apart, the next stage's nodes
-        # tell more; but a doubtful build is not promoted to the whole fleet.
+        # tell more: so a doubtful build is promoted after a longer wait, but not to the whole fleet.
         if is_doubtful and (
             next_share == 1.0 or self.low_traffic or waited_ms < 3.0 * self.thresholds.promotion_wait_ms * next_share
         ):
--- a/brookreach/policy/canary_charts.py
+++ b/brookreach/policy/canary_charts.py
@@ -33,6 +33,9 @@
 
 FLEET: Final = -1  # in place of a node: the steps of the fleet's outcome counts
 NO_BUILD: Final = -1
+MIN_NODE_LIMIT: Final = 3.2  # what one node may add to a chart, at least
+NODE_LIMIT_RATIO: Final = 1.25  # so many times its equal share of the threshold
+CONFIRMATION_SHARE: Final = 0.5  # of its threshold: from here on the fleet's chart confirms this balancer's
 
 
 class CanaryCharts(Actor):
@@ -164,21 +167,29 @@
         chart = self.charts.setdefault((method, stream), CusumChart(threshold))
         chart.threshold = threshold
         # One bad node does not make a bad build: at least two nodes must contribute to a crossing.
-        max_per_node = math.inf if node < 0 else max(3.2, 1.25 * threshold / max(2, self.candidate_node_count))
+        max_per_node = (
+            math.inf
+            if node < 0
+            else max(MIN_NODE_LIMIT, NODE_LIMIT_RATIO * threshold / max(2, self.candidate_node_count))
+        )
         chart.add(step, node, max_per_node)
         if status is None or chart.level < threshold:
             return
         chart.level = threshold
         # In the fleet's counts one bad node looks like a bad build. So two nodes must stand in this balancer's own
         # charts, or several balancers must vote alike and there must be three candidate nodes.
-        contributing = {one for (_, own), its in self.charts.items() if own in stream for one in its.added_by_node} - {
-            FLEET
+        contributing = {
+            one
+            for (_, own_stream), own_chart in self.charts.items()
+            if own_stream in stream
+            for one in own_chart.added_by_node
         }
+        contributing.discard(FLEET)
         # In low-traffic mode this balancer's own links may fail and not the fleet's: the fleet's counts must not speak
         # against its outcomes.
         fleet_chart = self.charts.get((method, f"tallied {stream}")) if self.low_traffic else None
         is_confirmed = (
-            (fleet_chart is None or fleet_chart.level > 0.5 * fleet_chart.threshold)
+            (fleet_chart is None or fleet_chart.level > CONFIRMATION_SHARE * fleet_chart.threshold)
             if node >= 0
             else (
                 stream == "burden"
--- a/brookreach/policy/cusum.py
+++ b/brookreach/policy/cusum.py
@@ -16,6 +16,10 @@
 FAILURE_RATE_INCREASE: Final = 0.15  # effect size of one method's failures chart
 OVERALL_FAILURE_RATE_INCREASES: Final = (0.05, 0.08, 0.11)  # effect sizes over all methods, of which a wave takes one
 SLOWDOWN_RATIO: Final = 1.6  # effect size of the speed charts
+LOGISTIC_SCALE: Final = 1.7  # a logistic score divided by it is about standard normal
+QUARTILE_RANGE: Final = 1.35  # standard deviations between the quartiles of a normal distribution
+MIN_SPREAD: Final = 0.1  # of the log of durations, as a standard deviation
+MAX_SHIFT: Final = 1.2  # in standard deviations
 MAX_SPEED_STEP: Final = 2.0  # one answer counts no more than an error would
 ALL_METHODS: Final = -1  # the key, in place of a method, of charts over all methods
 
@@ -43,13 +47,13 @@
     Overload moves both builds' durations and leaves the ranks; one very slow baseline node moves only their upper end.
     """
     position = bisect(baseline, log_duration) + 0.5
-    return math.log(position / (len(baseline) + 1.0 - position)) / 1.7
+    return math.log(position / (len(baseline) + 1.0 - position)) / LOGISTIC_SCALE
 
 
 def speed_step(score: float, baseline: list[float]) -> float:
     """Returns the step of a rank score: a build that takes `SLOWDOWN_RATIO` times as long, to one that is alike."""
-    spread = max(0.1, (baseline[3 * len(baseline) // 4] - baseline[len(baseline) // 4]) / 1.35)
-    shift = min(1.2, math.log(SLOWDOWN_RATIO) / spread)
+    spread = max(MIN_SPREAD, (baseline[3 * len(baseline) // 4] - baseline[len(baseline) // 4]) / QUARTILE_RANGE)
+    shift = min(MAX_SHIFT, math.log(SLOWDOWN_RATIO) / spread)
     return max(-MAX_SPEED_STEP, min(MAX_SPEED_STEP, shift * (score - 0.5 * shift)))
 
 
--- a/brookreach/policy/node_registry.py
+++ b/brookreach/policy/node_registry.py
@@ -35,7 +35,9 @@
 THROUGHPUT_WINDOW_MS: Final = 4000.0  # for what warm nodes carry; a node is warm if it was so at the window's begin
 LATENCY_WINDOW_MS: Final = 4000.0
 OVERLOAD_LATE_SHARE: Final = 0.35  # of the picks; from here on durations tell of the load and not of one node
-SLOW_PICK_RATIO: Final = 3.0  # in low-traffic mode: a pick that takes so many times the typical duration is slow
+SLOW_PICK_SOFT_SHARE: Final = 0.5  # a slow pick takes this share of the soft deadline at least,
+SLOW_PICK_RATIO: Final = 4.0  # and so many times the typical duration
+LOW_TRAFFIC_SLOW_PICK_RATIO: Final = 3.0
 BASELINE_POOL: Final = 0  # the pool of all builds that are no candidates
 RECEIVED: Final = 0  # in place of a build: RPCs received
 LOCAL_ZONE: Final = -1  # beside pools: a key for the nodes of this balancer's zone
@@ -131,9 +133,13 @@
         Under overload all picks wait, and none speaks against its node.
         """
         if not self.low_traffic:
-            return max(0.5 * soft_ms, 4.0 * typical_ms) if self.late_share(now) < OVERLOAD_LATE_SHARE else math.inf
+            return (
+                max(SLOW_PICK_SOFT_SHARE * soft_ms, SLOW_PICK_RATIO * typical_ms)
+                if self.late_share(now) < OVERLOAD_LATE_SHARE
+                else math.inf
+            )
         slowdown = math.exp(self.log_slowdowns.get(self.pool_of(build), 0.0))
-        return max(0.5 * soft_ms, SLOW_PICK_RATIO * typical_ms * slowdown)
+        return max(SLOW_PICK_SOFT_SHARE * soft_ms, LOW_TRAFFIC_SLOW_PICK_RATIO * typical_ms * slowdown)
 
     def refresh_pools(self, now: float) -> None:
         """Builds the pools anew after changes of the list or the rollout and, while nodes are cold, periodically."""
--- a/brookreach/policy/node_selection.py
+++ b/brookreach/policy/node_selection.py
@@ -31,7 +31,10 @@
 WIDE_DRAWS: Final = 12  # nodes drawn when none of the first can take it
 CROSS_ZONE_WEIGHT: Final = 8.0  # how strongly the price of crossing zones counts against the expected wait
 PICK_MARGIN_MS: Final = 5.0  # a pick ends so long before its RPC's deadline
+HEDGE_TYPICAL_MULTIPLE: Final = 3.0  # a hedged pick is sent after so many times the typical duration,
+HEDGE_SOFT_SHARE: Final = 0.25  # and after this share of the soft deadline at least
 CONNECTION_REST_MS: Final = 30.0  # a pick goes over no connection whose last answer is less old
+TYPICAL_NODES_SHARE: Final = 0.75  # of the nodes: those that fail least tell the typical failure rate
 AVERAGE_WEIGHT: Final = 0.02  # of a new value in a moving average
 
 
@@ -156,7 +159,7 @@
         )
         method = rpc.method_settings
         if len(rpc.picks) == 1 and self.allowed_actions.second_copies and method.repeat == Idempotency.IDEMPOTENT:
-            after_ms = max(3.0 * self.expected_ms(rpc), 0.25 * method.soft_ms)
+            after_ms = max(HEDGE_TYPICAL_MULTIPLE * self.expected_ms(rpc), HEDGE_SOFT_SHARE * method.soft_ms)
             self.actions.append(SetTimer(after_ms, TIMER_KINDS * rpc.rpc_id + HEDGE_TIMER))
 
     def hold_rpc(self, now: float, rpc: RoutedRpc) -> None:
@@ -168,8 +171,8 @@
         self.canary_analysis.send("evaluate", now)
         self.actions.append(SetTimer(EVALUATION_INTERVAL_MS, EVALUATION_TIMER))
         by_failures = sorted(self.nodes.values(), key=lambda node: node.recent_failures / (node.recent_picks + 1.0))
-        # The quarter of the nodes that fail most does not tell what is typical.
-        most = by_failures[: math.ceil(0.75 * len(by_failures))]
+        # The few nodes that fail most do not tell what is typical.
+        most = by_failures[: math.ceil(TYPICAL_NODES_SHARE * len(by_failures))]
         candidates = [node for node in self.nodes.values() if is_candidate(self.status, node.entry.build)]
         ejected = sum([node.ejection_ms > 0.0 and node.ejection_health == FAILING for node in candidates])
         self.is_candidate_suspect = 2 * ejected >= len(candidates)
--- a/brookreach/policy/request_router.py
+++ b/brookreach/policy/request_router.py
@@ -48,14 +48,18 @@
 DEADLINE_MARGIN_MS: Final = 6.0  # an RPC is given up so long before its deadline
 MIN_RETRY_MS: Final = 10.0  # before the deadline: later, no further pick is sent
 RETRY_DELAY_MS: Final = 50.0  # an RPC that no node can take is tried again after it
+HOLD_MARGIN_SHARE: Final = 0.4  # of the soft deadline: an RPC with less time left is not held any longer
 MAX_PUSH_BACK_MS: Final = 500.0
+SHED_SLOPE: Final = 3.0  # probability of load shedding, by the share of late picks above `OVERLOAD_LATE_SHARE`
+MAX_SHED_PROBABILITY: Final = 0.9  # the rest shows when the overload is over
 ANSWER_RATE_WINDOW_MS: Final = 2000.0
 MIN_QUEUE_LIMIT: Final = 6  # RPCs
 QUEUE_LIMIT_SHARE: Final = 0.6  # of a soft deadline: as many RPCs may wait as are answered in it
 NEARLY_LATE_SHARE: Final = 0.6  # of the soft deadline: longer durations count as late
+MAX_WORK_SHARE: Final = 0.5  # of the soft deadline: what is longer is time in queues
 HEDGE_BUDGET_PER_RPC: Final = 0.1
 MAX_HEDGE_BUDGET: Final = 3.0
-SLOWDOWN_WEIGHT: Final = 0.07
+SLOWDOWN_WEIGHT: Final = 0.07  # of a new pick in the average of `log_slowdowns`
 SLOWDOWN_DECAY: Final = 0.93
 
 
@@ -103,7 +107,8 @@
         is_overload = (
             self.is_queue_full(now, rpc)
             if self.low_traffic
-            else self.rng.random() < min(0.9, 3.0 * (self.late_share(now) - OVERLOAD_LATE_SHARE))
+            else self.rng.random()
+            < min(MAX_SHED_PROBABILITY, SHED_SLOPE * (self.late_share(now) - OVERLOAD_LATE_SHARE))
         )
         if is_overload or len(self.rpcs) > self.allowed_actions.max_open or rpc.deadline_ms <= now + DEADLINE_MARGIN_MS:
             # At once: an RPC that can't be answered in time only delays others.
@@ -134,7 +139,7 @@
     def hold_rpc(self, now: float, rpc: RoutedRpc) -> None:
         """Tries an RPC that no node can take again later, or gives it up where an answer would come too late."""
         if (
-            now + 0.4 * rpc.method_settings.soft_ms > rpc.soft_deadline_ms
+            now + HOLD_MARGIN_SHARE * rpc.method_settings.soft_ms > rpc.soft_deadline_ms
             or len(rpc.picks) >= self.allowed_actions.max_picks
         ):
             self.give_up(now, rpc)
@@ -171,7 +176,7 @@
             self.hedge_budget -= 1.0
             self.send("request_offers", now, rpc)
 
-    def cancel_rpc(self, now: float, event: RpcCancelled) -> None:
+    def cancel_rpc(self, _now: float, event: RpcCancelled) -> None:
         """Handles a client that has left."""
         if event.rpc_id in self.rpcs:
             self.finish(self.rpcs[event.rpc_id])
@@ -195,7 +200,7 @@
             if self.low_traffic and event.is_final and now < rpc.soft_deadline_ms:
                 self.timely_answers.add(now)
             # Longer answers have waited in queues, which is no cost of the method.
-            work_ms = min(event.duration_ms, 0.5 * soft_ms)
+            work_ms = min(event.duration_ms, MAX_WORK_SHARE * soft_ms)
             self.typical_ms[rpc.method] += AVERAGE_WEIGHT * (work_ms - self.typical_ms[rpc.method])
             if slow_start_factor(entry, now - THROUGHPUT_WINDOW_MS, self.safety_limits) >= 1.0:
                 self.warm_cost.add(now, rpc.cost_ms or self.typical_ms[rpc.method])
--- a/brookreach/policy/tracked_node.py
+++ b/brookreach/policy/tracked_node.py
@@ -18,7 +18,13 @@
 FAILING: Final = 1  # it answers with errors
 UNRESPONSIVE: Final = 2  # it does not answer, or not in time
 SLOW_START_SHARE: Final = 0.4  # of the load that the rules allow a cold node
+BUDGET_WINDOW_SHARE: Final = 0.2  # of the rule's window: so much of a slow-start budget may be saved up
 FAILURE_EFFECT: Final = 0.5  # effect size of the failure score: so much above the typical failure rate
+OUTCOME_DECAY: Final = 0.95  # of earlier outcomes, with each pick
+LATENCY_WEIGHT: Final = 0.1  # of a new duration in the average
+MAX_LATENCY_RATIO: Final = 20.0  # of one pick
+MAX_EJECTION_MULTIPLE: Final = 16.0  # of the shortest ejection
+RECOVERED_SHARE: Final = 0.3  # of the ejection score: below it the ejection of a returning node is halved
 
 
 class TrackedNode(Actor):
@@ -94,7 +100,7 @@
         can_take = entry.state == NodeState.READY
         if can_take and factor < 1.0:
             budget_per_ms = SLOW_START_SHARE * self.safety_limits.fall_multiple * factor * warm_throughput * entry.size
-            max_budget = 0.2 * budget_per_ms * self.safety_limits.fall_ms
+            max_budget = BUDGET_WINDOW_SHARE * budget_per_ms * self.safety_limits.fall_ms
             # The first budget is reduced by chance: hundreds of balancers must not start at once.
             added = (
                 budget_per_ms * (now - self.budget_updated_ms)
@@ -155,22 +161,30 @@
         is_failure = outcome in NODE_FAILURES or (
             is_slow and (outcome == Outcome.TIMEOUT or (outcome == Outcome.OK and self.low_traffic))
         )
-        self.recent_picks = 0.95 * self.recent_picks + 1.0
-        self.recent_failures = 0.95 * self.recent_failures + is_failure
+        self.recent_picks = OUTCOME_DECAY * self.recent_picks + 1.0
+        self.recent_failures = OUTCOME_DECAY * self.recent_failures + is_failure
         # A failure speaks against this node only as far as failures are rare at most nodes.
         self.failure_score = max(
             0.0, self.failure_score + failure_step(is_failure, typical_failure_rate, FAILURE_EFFECT)
         )
         if outcome == Outcome.OK:
-            ratio = min(20.0, event.duration_ms / typical_ms * slow_start_factor(entry, now, self.safety_limits))
-            self.latency_ratio += 0.1 * (ratio - self.latency_ratio)
-            if self.ejection_ms and now >= self.ejected_until_ms and self.failure_score < 0.3 * self.ejection_score:
+            ratio = min(
+                MAX_LATENCY_RATIO, event.duration_ms / typical_ms * slow_start_factor(entry, now, self.safety_limits)
+            )
+            self.latency_ratio += LATENCY_WEIGHT * (ratio - self.latency_ratio)
+            if (
+                self.ejection_ms
+                and now >= self.ejected_until_ms
+                and self.failure_score < RECOVERED_SHARE * self.ejection_score
+            ):
                 self.ejection_ms = 0.5 * self.ejection_ms if self.ejection_ms > self.min_ejection_ms else 0.0
                 if not self.ejection_ms:
                     self.registry.actions.append(LogLine(f"node {entry.node} back"))
         if is_failure and now >= self.ejected_until_ms and self.failure_score >= self.ejection_score:
             self.failure_score = 0.5 * self.ejection_score
-            self.ejection_ms = min(16.0 * self.min_ejection_ms, max(self.min_ejection_ms, 2.0 * self.ejection_ms))
+            self.ejection_ms = min(
+                MAX_EJECTION_MULTIPLE * self.min_ejection_ms, max(self.min_ejection_ms, 2.0 * self.ejection_ms)
+            )
             self.ejected_until_ms = now + self.ejection_ms
             self.ejection_health = FAILING if outcome == Outcome.ERROR else UNRESPONSIVE
             self.registry.actions.append(
