--- a/brookreach/policy/cusum.py
+++ b/brookreach/policy/cusum.py
@@ -123,7 +123,7 @@
         ]
         for kind in (failures, speed)
     }
-    # The fleet's counts hold all durations; of a balancer's own, part of the evidence is enough.
+    # The fleet's counts hold all durations, so the whole evidence is asked of them.
     needed_speed = (needed if low_traffic else needed / methods) if sums[speed] else 0.0
     return (
         bool(sums[failures])
