--- a/brookreach/xds/view.py
+++ b/brookreach/xds/view.py
@@ -18,13 +18,13 @@
     router = balancer.request_router
     nodes = []
     for node in router.nodes.values():
-        if now < node.shy_until:
+        if now < node.ejected_until_ms:
             doubt = SHUNNED_DOUBT
         else:
-            doubt = min(MAX_USABLE_DOUBT, MAX_USABLE_DOUBT * node.doubt / node.most_doubt)
+            doubt = min(MAX_USABLE_DOUBT, MAX_USABLE_DOUBT * node.failure_score / node.ejection_score)
         # Before the first answers a cold node's slowness is a guess that only serves the balancer's own picks.
-        slow = node.slow if node.tried else NORMAL_SLOWNESS
+        slow = node.latency_ratio if node.recent_picks else NORMAL_SLOWNESS
         nodes.append(NodeView(node.entry, doubt, slow))
     nodes.sort(key=lambda view: view.entry.node)
-    news: ifc.RolloutStatus | None = router.news
-    return BalancerView(now, news, tuple(nodes), router.rate)
+    news: ifc.RolloutStatus | None = router.status
+    return BalancerView(now, news, tuple(nodes), router.warm_throughput)
