--- a/brookreach/__init__.py
+++ b/brookreach/__init__.py
@@ -1,1 +1,1 @@
-"""brookreach: an RPC router that judges new builds while it routes."""
+"""brookreach: an RPC router with canary analysis of new builds."""
--- a/brookreach/configuration.py
+++ b/brookreach/configuration.py
@@ -1,6 +1,6 @@
-"""Reads the configuration of one marshal from its environment and its file.
+"""Reads the configuration of one balancer from its environment and its file.
 
-It owns what a start can be refused for before any part is built. It must never build a part or open a socket.
+It owns what a start can be refused for before anything is built. It must never build a component or open a socket.
 """
 
 from __future__ import annotations
@@ -12,47 +12,63 @@
 from brookreach.net.stream import parse_address
 from brookreach.settings_object import SettingsObject
 
+PATH_VARIABLE = "PROXY_CONFIG"
+VARIABLE_PREFIX = "PROXY_"
+ENVIRONMENT_KEYS = ("name", "listen", "discovery")  # taken from the environment where the file leaves them out
+
 
 class StartupError(Exception):
-    """Why the marshal can't start, in one line."""
+    """Why the balancer can't start, in one line."""
 
 
 def read_configuration(environment: Mapping[str, str]) -> dict[str, Any]:
-    """The object in the file that PROXY_CONFIG names, completed from the environment. Raises StartupError."""
-    path = environment.get("PROXY_CONFIG")
+    """Returns the object in the file that PROXY_CONFIG names, completed from the environment.
+
+    Raises:
+        StartupError: PROXY_CONFIG is not set, or the file holds no JSON object.
+    """
+    path = environment.get(PATH_VARIABLE)
     if not path:
-        raise StartupError("PROXY_CONFIG is not set")
-    told = read_json_object(path, "PROXY_CONFIG")
-    for name in ("name", "listen", "discovery"):  # the environment says them too
-        told.setdefault(name, environment.get(f"PROXY_{name.upper()}"))
-    return told
+        raise StartupError(f"{PATH_VARIABLE} is not set")
+    configuration = read_json_object(path, PATH_VARIABLE)
+    for key in ENVIRONMENT_KEYS:
+        configuration.setdefault(key, environment.get(f"{VARIABLE_PREFIX}{key.upper()}"))
+    return configuration
+
+
+def read_json_object(path: str, source: str) -> dict[str, Any]:
+    """Returns the JSON object in a file.
 
+    Args:
+        path: Of the file.
+        source: Where the path was given, for the error if the file can't be read.
 
-def read_json_object(path: str, named: str) -> dict[str, Any]:
-    """The JSON object in a file; `named` is where its path was told. Raises StartupError."""
+    Raises:
+        StartupError: The file can't be read, is not JSON or holds no object.
+    """
     try:
         with open(path, "rb") as file:
-            told = json.load(file)
+            value = json.load(file)
     except OSError as error:
-        raise StartupError(f"{named} can't be read: {error}") from None
+        raise StartupError(f"{source} can't be read: {error}") from None
     except (ValueError, RecursionError) as error:
         raise StartupError(f"{path} is not JSON: {error}") from None
-    if not isinstance(told, dict):
+    if not isinstance(value, dict):
         raise StartupError(f"{path} holds no object")
-    return told
+    return value
 
 
-def read_address(told: SettingsObject, key: str) -> tuple[str, int]:
-    """Host and port that a key words as `host:port`. Raises SettingsError."""
+def read_address(settings: SettingsObject, key: str) -> tuple[str, int]:
+    """Returns the host and port of a key that holds `host:port`; raises SettingsError."""
     try:
-        return parse_address(told.text(key))
+        return parse_address(settings.text(key))
     except ValueError:
-        raise told.invalid(key, "an address with a port") from None
+        raise settings.invalid(key, "an address with a port") from None
 
 
-def read_seed(told: SettingsObject) -> int:
-    """The seed of the random numbers, worded in hexadecimal. Raises SettingsError."""
+def read_seed(settings: SettingsObject) -> int:
+    """Returns the seed of the random numbers, which `seed` holds in hexadecimal; raises SettingsError."""
     try:
-        return int(str(told.value("seed")), 16)
+        return int(str(settings.value("seed")), 16)
     except ValueError:
-        raise told.invalid("seed", "a hexadecimal number") from None
+        raise settings.invalid("seed", "a hexadecimal number") from None
