--- a/brookreach/balancer_settings_reader.py
+++ b/brookreach/balancer_settings_reader.py
@@ -1,7 +1,8 @@
-"""Reads the settings that a marshal is told at its start into `BalancerSettings`.
+"""Reads the settings that a balancer gets at its start into `BalancerSettings`.
 
-Both adapters share it: the simulator's first message and a real marshal's configuration hold the same object.
-It owns the settings' names, words and units; it must never decide anything, nor make up a value not told.
+Both adapters share it: the simulator's first message and a real balancer's configuration hold the same object. It owns
+the names, the choices and the units of the settings. It must never decide anything, nor fill in a required value that
+is missing.
 """
 
 from __future__ import annotations
@@ -9,153 +10,202 @@
 from collections.abc import Mapping
 from typing import Any
 
-from brookreach import interface as ifc
-from brookreach.settings_object import SettingsError, SettingsObject, abbreviated_repr, parse_choice
+from brookreach.balancer_settings import (
+    AllowedActions,
+    BalancerSettings,
+    Exposure,
+    FleetPosition,
+    Method,
+    Prices,
+    RolloutSettings,
+    SafetyLimits,
+    Tenant,
+    Voting,
+)
+from brookreach.enumerations import DedupScope, Idempotency, LoadMetric, PromotionGate
+from brookreach.settings_object import US_PER_MS, SettingsError, SettingsObject, abbreviated_repr, parse_choice
 
 IDEMPOTENCY_VALUES = {
-    "read_like": ifc.Idempotency.IDEMPOTENT,
-    "idempotency_key": ifc.Idempotency.TOKENED,
-    "non_idempotent": ifc.Idempotency.NON_IDEMPOTENT,
+    "read_like": Idempotency.IDEMPOTENT,
+    "idempotency_key": Idempotency.TOKENED,
+    "non_idempotent": Idempotency.NON_IDEMPOTENT,
 }
-DEDUP_SCOPES = {"all": ifc.DedupScope.ALL, "zone": ifc.DedupScope.ZONE, "cell": ifc.DedupScope.CELL}
-GATE_MODES = {"any": ifc.PromotionGate.ANY, "share": ifc.PromotionGate.SHARE, "timer": ifc.PromotionGate.CLOCK}
+DEDUP_SCOPES = {"all": DedupScope.ALL, "zone": DedupScope.ZONE, "cell": DedupScope.CELL}
+GATE_MODES = {"any": PromotionGate.ANY, "share": PromotionGate.SHARE, "timer": PromotionGate.CLOCK}
 LOAD_METRICS = {
-    "busy_reqs": ifc.LoadMetric.INFLIGHT,
-    "pending": ifc.LoadMetric.QUEUED,
-    "cpu_share": ifc.LoadMetric.CPU_SHARE,
-    "svc_ms": ifc.LoadMetric.SERVICE_MS,
-    "served_ps": ifc.LoadMetric.RATE,
-    "failed_ps": ifc.LoadMetric.ERROR_RATE,
+    "busy_reqs": LoadMetric.INFLIGHT,
+    "pending": LoadMetric.QUEUED,
+    "cpu_share": LoadMetric.CPU_SHARE,
+    "svc_ms": LoadMetric.SERVICE_MS,
+    "served_ps": LoadMetric.RATE,
+    "failed_ps": LoadMetric.ERROR_RATE,
 }
-REGISTRY_MODES = {"push": False, "ask": True}
-CAP_SCOPES = {"all": False, "class": True}
-REPLACE_MODES = {"beside": False, "in_place": True}
-REPORT_CHANNELS = {"off": False, "inline": True, "on_probe": True}
+REGISTRY_MODES = {"push": False, "ask": True}  # whether the list of nodes has to be asked for
+CAP_SCOPES = {"all": False, "class": True}  # whether each method has a cap of its own
+REPLACE_MODES = {"beside": False, "in_place": True}  # whether nodes are replaced in place
+REPORT_CHANNELS = {"off": False, "inline": True, "on_probe": True}  # whether nodes report their load
+
+MAX_SHARE = 1.0
+DEFAULT_SOFT_STRETCH = 0.0  # where `aimStretch` is left out
+DEFAULT_WARM_KEYS = False  # where `warmKeys` is left out
 
 
 def us_to_ms(us: float) -> float:
-    return us / 1000.0
+    """Returns a time in milliseconds that the protocol gives in microseconds."""
+    return us / US_PER_MS
 
 
-def read_balancer_settings(seed: int, told: Mapping[str, Any]) -> ifc.BalancerSettings:
-    """The settings as told, in our units; raises SettingsError for the first that is not as agreed."""
-    settings = SettingsObject(told, "settings")
-    allowed, guards, family = (settings.object(key) for key in ("allowed", "guarantees", "familyInfo"))
-    fees, report = settings.object("fees"), settings.object("report")
-    fields = report.items("fields") if report.choice("via", REPORT_CHANNELS) else []
-    return ifc.BalancerSettings(
+def read_balancer_settings(seed: int, values: Mapping[str, Any]) -> BalancerSettings:
+    """Returns the settings in the interface's units; raises SettingsError for the first value that is not valid."""
+    settings = SettingsObject(values, "settings")
+    allowed = settings.object("allowed")
+    guarantees = settings.object("guarantees")
+    family = settings.object("familyInfo")
+    fees = settings.object("fees")
+    report = settings.object("report")
+    metric_names = report.items("fields") if report.choice("via", REPORT_CHANNELS) else []
+    return BalancerSettings(
         seed=seed,
-        place=_place(settings),
-        methods=_methods(settings),
-        tenants=tuple(
-            ifc.Tenant(one.text("name"), one.number("share"), one.number("allowancePerS"))
-            for one in settings.objects("tenants")
-        ),
+        place=_read_position(settings),
+        methods=_read_methods(settings),
+        tenants=tuple(_read_tenant(tenant) for tenant in settings.objects("tenants")),
         over_share_utility=settings.number("overShareWorth"),
-        permits=ifc.AllowedActions(
-            allowed.flag("cancel"),
-            allowed.flag("probes"),
-            allowed.flag("secondCopies"),
-            allowed.flag("peers"),
-            allowed.flag("retryAfter"),
-            allowed.ms_from_us("maxRetryAfterUs"),
-            allowed.count("sendCap"),
-            allowed.count("mostHeld"),
-            settings.choice("registryMode", REGISTRY_MODES),
-        ),
-        guards=ifc.SafetyLimits(
-            guards.ms_from_us("answerSlackUs"),
-            guards.ms_from_us("askWithinUs"),
-            guards.number("coldShare", 1.0),
-            guards.ms_from_us("warmWithinUs"),
-            guards.ms_from_us("drainGraceUs"),
-            guards.number("fallMultiple"),
-            guards.ms_from_us("tipAfterUs"),
-        ),
-        exposure=_exposure(family),
-        voting=ifc.Voting(
-            family.choice("gateMode", GATE_MODES),
-            family.count("toAdvance"),
-            family.count("toAbort"),
-            family.count("holdVotes"),
-            family.ms_from_us("ballotTtlUs"),
-            family.ms_from_us("answerWaitUs"),
-            family.number("voteAllowance"),
-            family.ms_from_us("minDwellUs"),
-            family.ms_from_us("movesAfterUs"),
-        ),
-        rollout=ifc.RolloutSettings(
-            family.numbers("stageShare", 1.0),
-            family.choice("replaceMode", REPLACE_MODES),
-            family.ms_from_us("newsPeriodUs"),
-            family.ms_from_us("metricsPeriodUs"),
-            family.number("sample", 1.0),
-            family.number("complaintShare", 1.0),
-            family.flag("warmKeys") if "warmKeys" in family.values else False,
-        ),
-        prices=ifc.Prices(
-            fees.number("crossZone"),
-            fees.number("waste"),
-            fees.number("probe"),
-            fees.number("lateFail"),
-            family.number("delayPrice"),
-            family.number("blastPrice"),
-        ),
+        permits=_read_allowed_actions(allowed, settings),
+        guards=_read_safety_limits(guarantees),
+        exposure=_read_exposure(family),
+        voting=_read_voting(family),
+        rollout=_read_rollout(family),
+        prices=_read_prices(fees, family),
         reports=tuple(
-            parse_choice(field, LOAD_METRICS, f"settings.report.fields[{at}]") for at, field in enumerate(fields)
+            parse_choice(name, LOAD_METRICS, f"settings.report.fields[{index}]")
+            for index, name in enumerate(metric_names)
         ),
         tick_ms=settings.ms_from_us("tickUs"),
     )
 
 
-def _place(settings: SettingsObject) -> ifc.FleetPosition:
-    place = ifc.FleetPosition(settings.count("myZone"), settings.count("ordinal"), settings.count("balancers"))
-    if place.ordinal >= place.marshals:
-        raise settings.invalid("ordinal", f"below settings.balancers, {place.marshals}")
+def _read_position(settings: SettingsObject) -> FleetPosition:
+    position = FleetPosition(
+        zone=settings.count("myZone"),
+        ordinal=settings.count("ordinal"),
+        marshals=settings.count("balancers"),
+    )
+    if position.ordinal >= position.marshals:
+        raise settings.invalid("ordinal", f"below settings.balancers, {position.marshals}")
     zones = len(settings.items("zones")) if "zones" in settings.values else 0
-    if 0 < zones <= place.zone:
+    if 0 < zones <= position.zone:
         raise settings.invalid("myZone", f"one of the {zones} settings.zones, counted from 0")
-    return place
+    return position
 
 
-def _methods(settings: SettingsObject) -> tuple[ifc.Method, ...]:
-    seen: dict[str, str] = {}
+def _read_methods(settings: SettingsObject) -> tuple[Method, ...]:
+    paths: dict[str, str] = {}  # by name
     methods = []
-    for told in settings.objects("classes"):
-        name = told.text("name")
-        if name in seen:
-            raise SettingsError(f"{told.path}.name is {abbreviated_repr(name)}, as {seen[name]}.name is")
-        seen[name] = told.path
-        methods.append(
-            ifc.Method(
-                name,
-                told.choice("idempotency", IDEMPOTENCY_VALUES),
-                told.choice("dedupScope", DEDUP_SCOPES),
-                told.ms_from_us("windowUs"),
-                told.ms_from_us("aimUs"),
-                told.ms_from_us("hardLimitUs"),
-                told.number("worth"),
-                told.number("lateWorth"),
-                told.number("aimStretch") if "aimStretch" in told.values else 0.0,
-                told.flag("stream"),
-            )
-        )
+    for entry in settings.objects("classes"):
+        name = entry.text("name")
+        if name in paths:
+            raise SettingsError(f"{entry.path}.name is {abbreviated_repr(name)}, as {paths[name]}.name is")
+        paths[name] = entry.path
+        methods.append(_read_method(name, entry))
     if not methods:
         raise settings.invalid("classes", "one class or more")
     return tuple(methods)
 
 
-def _exposure(family: SettingsObject) -> ifc.Exposure:
-    caps, stages = family.numbers("exposureCaps", 1.0), len(family.items("stageShare"))
+def _read_method(name: str, entry: SettingsObject) -> Method:
+    return Method(
+        name=name,
+        repeat=entry.choice("idempotency", IDEMPOTENCY_VALUES),
+        group=entry.choice("dedupScope", DEDUP_SCOPES),
+        token_ms=entry.ms_from_us("windowUs"),
+        soft_ms=entry.ms_from_us("aimUs"),
+        hard_ms=entry.ms_from_us("hardLimitUs"),
+        utility=entry.number("worth"),
+        late_utility=entry.number("lateWorth"),
+        soft_stretch=entry.number("aimStretch") if "aimStretch" in entry.values else DEFAULT_SOFT_STRETCH,
+        streamed=entry.flag("stream"),
+    )
+
+
+def _read_tenant(entry: SettingsObject) -> Tenant:
+    return Tenant(name=entry.text("name"), share=entry.number("share"), rate=entry.number("allowancePerS"))
+
+
+def _read_allowed_actions(allowed: SettingsObject, settings: SettingsObject) -> AllowedActions:
+    return AllowedActions(
+        cancel=allowed.flag("cancel"),
+        probes=allowed.flag("probes"),
+        second_copies=allowed.flag("secondCopies"),
+        peers=allowed.flag("peers"),
+        come_back=allowed.flag("retryAfter"),
+        come_back_ms=allowed.ms_from_us("maxRetryAfterUs"),
+        max_picks=allowed.count("sendCap"),
+        max_open=allowed.count("mostHeld"),
+        list_on_request=settings.choice("registryMode", REGISTRY_MODES),
+    )
+
+
+def _read_safety_limits(guarantees: SettingsObject) -> SafetyLimits:
+    return SafetyLimits(
+        answer_slack_ms=guarantees.ms_from_us("answerSlackUs"),
+        ask_within_ms=guarantees.ms_from_us("askWithinUs"),
+        cold_share=guarantees.number("coldShare", MAX_SHARE),
+        warm_ms=guarantees.ms_from_us("warmWithinUs"),
+        drain_grace_ms=guarantees.ms_from_us("drainGraceUs"),
+        fall_multiple=guarantees.number("fallMultiple"),
+        fall_ms=guarantees.ms_from_us("tipAfterUs"),
+    )
+
+
+def _read_exposure(family: SettingsObject) -> Exposure:
+    caps = family.numbers("exposureCaps", MAX_SHARE)
+    stages = len(family.items("stageShare"))
     if not stages:
         raise family.invalid("stageShare", "one stage or more")
     if len(caps) != stages:
         raise family.invalid("exposureCaps", f"one cap for each of the {stages} stages of stageShare")
-    return ifc.Exposure(
-        family.ms_from_us("countedOverUs"),
-        family.number("uncounted"),
-        caps,
-        family.choice("capScope", CAP_SCOPES),
-        family.count("guardedStages"),
-        family.flag("forwardOnly"),
+    return Exposure(
+        window_ms=family.ms_from_us("countedOverUs"),
+        free=family.number("uncounted"),
+        caps=caps,
+        by_method=family.choice("capScope", CAP_SCOPES),
+        closed_stages=family.count("guardedStages"),
+        one_way=family.flag("forwardOnly"),
+    )
+
+
+def _read_voting(family: SettingsObject) -> Voting:
+    return Voting(
+        gate=family.choice("gateMode", GATE_MODES),
+        on_votes=family.count("toAdvance"),
+        back_votes=family.count("toAbort"),
+        hold_votes=family.count("holdVotes"),
+        vote_ms=family.ms_from_us("ballotTtlUs"),
+        answer_ms=family.ms_from_us("answerWaitUs"),
+        votes_per_s=family.number("voteAllowance"),
+        dwell_ms=family.ms_from_us("minDwellUs"),
+        step_ms=family.ms_from_us("movesAfterUs"),
+    )
+
+
+def _read_rollout(family: SettingsObject) -> RolloutSettings:
+    return RolloutSettings(
+        stage_shares=family.numbers("stageShare", MAX_SHARE),
+        in_place=family.choice("replaceMode", REPLACE_MODES),
+        news_ms=family.ms_from_us("newsPeriodUs"),
+        tally_ms=family.ms_from_us("metricsPeriodUs"),
+        tally_sample=family.number("sample", MAX_SHARE),
+        disputed_share=family.number("complaintShare", MAX_SHARE),
+        warm_keys=family.flag("warmKeys") if "warmKeys" in family.values else DEFAULT_WARM_KEYS,
+    )
+
+
+def _read_prices(fees: SettingsObject, family: SettingsObject) -> Prices:
+    return Prices(
+        cross_zone=fees.number("crossZone"),
+        waste=fees.number("waste"),
+        probe=fees.number("probe"),
+        late_fail=fees.number("lateFail"),
+        delay=family.number("delayPrice"),
+        harm=family.number("blastPrice"),
     )
--- a/brookreach/settings_object.py
+++ b/brookreach/settings_object.py
@@ -1,6 +1,7 @@
-"""Typed, checked reads of one JSON object of the settings; an error names the path and what stands there.
+"""Typed, checked reads of one JSON object of the settings; an error names the path and the value found there.
 
-It owns how a wrong value is worded. It must never know a setting's name, nor make up a value not told.
+It owns the wording of errors about single values. It must never know the name of a setting, nor fill in a value that
+is missing.
 """
 
 from __future__ import annotations
@@ -9,23 +10,30 @@
 from collections.abc import Mapping
 from typing import Any, TypeVar
 
-MAX_SHOWN_CHARS = 60  # characters of a value that is not as agreed
+MAX_SHOWN_CHARS = 60
+MAX_NUMBER = 1e300  # a larger JSON integer may not fit into a float
+US_PER_MS = 1000.0
 
-Meaning = TypeVar("Meaning")
+Choice = TypeVar("Choice")
 
 
 class SettingsError(Exception):
-    """The settings are not what the users' pages word; the text says where, and what stands there."""
+    """The settings are not as documented; the text says where, and what was found there."""
 
 
 def abbreviated_repr(value: object) -> str:
-    """A value as Python writes it, cut to what a line of the log may hold."""
+    """Returns the repr of a value, cut to what a line of the log may hold."""
     text = repr(value)
     return text if len(text) <= MAX_SHOWN_CHARS else text[:MAX_SHOWN_CHARS] + "..."
 
 
 class SettingsObject:
-    """One object of the settings and the path to it. What is read is as agreed, or raises SettingsError."""
+    """One object of the settings and its path. Each read returns a valid value or raises SettingsError.
+
+    Attributes:
+        values: The object as it was parsed from JSON.
+        path: Keys and indexes that lead to the object, for errors.
+    """
 
     def __init__(self, value: object, path: str) -> None:
         if not isinstance(value, Mapping):
@@ -33,87 +41,100 @@
         self.values: Mapping[str, Any] = value
         self.path = path
 
-    def invalid(self, key: str, wanted: str) -> SettingsError:
-        return SettingsError(f"{self.path}.{key} is {abbreviated_repr(self.values[key])}, not {wanted}")
+    def invalid(self, key: str, expected: str) -> SettingsError:
+        """Returns the error for the value of `key`, which is not what is expected."""
+        return SettingsError(f"{self.path}.{key} is {abbreviated_repr(self.values[key])}, not {expected}")
 
     def value(self, key: str) -> Any:
+        """Returns the value of `key`, whatever its type."""
         if key not in self.values:
-            whole, _, within = self.path.partition(".")
-            lack = "lack or misname" if whole.endswith("s") else "lacks or misnames"
-            raise SettingsError(f"{whole} {lack} {(within and within + '.') + key!r}")
+            root, _, inner_path = self.path.partition(".")
+            verb = "lack or misname" if root.endswith("s") else "lacks or misnames"
+            raise SettingsError(f"{root} {verb} {(inner_path and inner_path + '.') + key!r}")
         return self.values[key]
 
     def object(self, key: str) -> SettingsObject:
+        """Returns the object at `key`."""
         return SettingsObject(self.value(key), f"{self.path}.{key}")
 
     def items(self, key: str) -> list[Any]:
+        """Returns the list at `key`, whatever it holds."""
         value = self.value(key)
         if not isinstance(value, list):
             raise self.invalid(key, "a list")
         return value
 
     def objects(self, key: str) -> list[SettingsObject]:
-        return [SettingsObject(item, f"{self.path}.{key}[{at}]") for at, item in enumerate(self.items(key))]
+        """Returns the objects of the list at `key`."""
+        return [SettingsObject(item, f"{self.path}.{key}[{index}]") for index, item in enumerate(self.items(key))]
 
-    def number(self, key: str, most: float = math.inf) -> float:
-        """From 0 to `most`; what JSON can't hold but Python reads, NaN and infinities, is none."""
+    def number(self, key: str, maximum: float = math.inf) -> float:
+        """Returns a number from 0 to `maximum`; NaN and infinities, which Python's JSON parser accepts, are invalid."""
         value = self.value(key)
-        if not _is_number(value, most):
-            raise self.invalid(key, "a number" + _range(most))
+        if not _is_number(value, maximum):
+            raise self.invalid(key, "a number" + _range(maximum))
         return float(value)
 
     def ms_from_us(self, key: str) -> float:
-        """A time that is told in microseconds."""
-        return self.number(key) / 1000.0
+        """Returns a time in milliseconds that the settings give in microseconds."""
+        return self.number(key) / US_PER_MS
 
-    def count(self, key: str, most: float = math.inf) -> int:
+    def count(self, key: str, maximum: float = math.inf) -> int:
+        """Returns a whole number from 0 to `maximum`; it may be written with a decimal point."""
         value = self.value(key)
-        if not _is_number(value, most) or value != int(value):
-            raise self.invalid(key, "a whole number" + _range(most))
+        if not _is_number(value, maximum) or value != int(value):
+            raise self.invalid(key, "a whole number" + _range(maximum))
         return int(value)
 
-    def numbers(self, key: str, most: float) -> tuple[float, ...]:
+    def numbers(self, key: str, maximum: float) -> tuple[float, ...]:
+        """Returns a list of numbers from 0 to `maximum`."""
         items = self.items(key)
-        for at, item in enumerate(items):
-            if not _is_number(item, most):
-                raise SettingsError(f"{self.path}.{key}[{at}] is {abbreviated_repr(item)}, not a number" + _range(most))
+        for index, item in enumerate(items):
+            if not _is_number(item, maximum):
+                raise SettingsError(
+                    f"{self.path}.{key}[{index}] is {abbreviated_repr(item)}, not a number" + _range(maximum)
+                )
         return tuple(float(item) for item in items)
 
     def texts(self, key: str) -> list[str]:
+        """Returns a list of strings, which may be empty."""
         items = self.items(key)
-        for at, item in enumerate(items):
+        for index, item in enumerate(items):
             if not isinstance(item, str):
-                raise SettingsError(f"{self.path}.{key}[{at}] is {abbreviated_repr(item)}, not a text")
+                raise SettingsError(f"{self.path}.{key}[{index}] is {abbreviated_repr(item)}, not a text")
         return items
 
     def flag(self, key: str) -> bool:
+        """Returns a boolean."""
         value = self.value(key)
         if not isinstance(value, bool):
             raise self.invalid(key, "true or false")
         return value
 
     def text(self, key: str) -> str:
+        """Returns a string that is not empty."""
         value = self.value(key)
         if not isinstance(value, str) or not value:
             raise self.invalid(key, "a text")
         return value
 
-    def choice(self, key: str, words: Mapping[str, Meaning]) -> Meaning:
-        return parse_choice(self.value(key), words, f"{self.path}.{key}")
+    def choice(self, key: str, choices: Mapping[str, Choice]) -> Choice:
+        """Returns what the string at `key` stands for among `choices`."""
+        return parse_choice(self.value(key), choices, f"{self.path}.{key}")
 
 
-def _range(most: float) -> str:
-    return " from 0 up" if most == math.inf else f" from 0 to {most:g}"
+def _range(maximum: float) -> str:
+    return " from 0 up" if maximum == math.inf else f" from 0 to {maximum:g}"
 
 
-def _is_number(value: object, most: float) -> bool:
+def _is_number(value: object, maximum: float) -> bool:
     if isinstance(value, bool) or not isinstance(value, (int, float)):
         return False
-    return 0 <= value <= min(most, 1e300)  # false also for what is not a number
+    return 0 <= value <= min(maximum, MAX_NUMBER)  # False for NaN too
 
 
-def parse_choice(word: object, words: Mapping[str, Meaning], path: str) -> Meaning:
-    """What a word of the settings stands for. Raises SettingsError for a word that is not among `words`."""
-    if not isinstance(word, str) or word not in words:
-        raise SettingsError(f"{path} is {abbreviated_repr(word)}, an unknown word; known: {', '.join(words)}")
-    return words[word]
+def parse_choice(value: object, choices: Mapping[str, Choice], path: str) -> Choice:
+    """Returns what a string stands for among `choices`; raises SettingsError for any other value."""
+    if not isinstance(value, str) or value not in choices:
+        raise SettingsError(f"{path} is {abbreviated_repr(value)}, an unknown word; known: {', '.join(choices)}")
+    return choices[value]
