--- a/brookreach/net/pgwire.py
+++ b/brookreach/net/pgwire.py
@@ -1,7 +1,7 @@
-"""PostgreSQL's protocol, version 3, as far as RPCs need it; no I/O.
+"""The messages of PostgreSQL's protocol, version 3, as far as RPCs need them; no I/O.
 
-It owns the bytes: messages are parsed in place in one buffer a connection, and written as lists of buffers.
-It must never wait, open or close anything, nor know what an RPC's answer leads to.
+Received bytes are parsed in place in one buffer per connection; messages to send are lists of buffers. This module
+never waits, opens or closes anything, and does not know what follows from the answer of an RPC.
 """
 
 from __future__ import annotations
@@ -10,8 +10,14 @@
 
 MESSAGE_HEADER = struct.Struct("!ci")
 INT32 = struct.Struct("!i")
-STARTUP, CANCEL, SSL, GSSENC = 196608, 80877102, 80877103, 80877104
-PUSH_BACK_SQLSTATE, NOT_READY_SQLSTATE = b"53300", b"57P03"  # both tell the other side that nothing ran
+# Codes in the first message of a connection.
+STARTUP = 196608
+CANCEL = 80877102
+SSL = 80877103
+GSSENC = 80877104
+# SQLSTATEs that both tell the other side that nothing ran.
+PUSH_BACK_SQLSTATE = b"53300"
+NOT_READY_SQLSTATE = b"57P03"
 
 HARMLESS_REPLY_TAGS: tuple[bytes, bytes] = (b"I", b"C")  # of an empty query; of a command that does nothing
 
@@ -21,31 +27,41 @@
 
 
 class SecondAnswerError(ProtocolViolationError):
-    """What comes begins a second answer where one was asked for."""
+    """A second answer begins where one was requested."""
 
 
 class OutOfOrderError(ProtocolViolationError):
-    """A reply of another query stands where that of the next one should."""
+    """The reply to another query stands where the reply to the next query should."""
 
 
 class ConnectionEndedError(ProtocolViolationError):
-    """A fatal error in place of what should come: the other side ends the connection."""
+    """A fatal error in place of the expected message: the other side ends the connection."""
 
 
 class BufferPool:
-    """Memory that connections share for what doesn't fit into their first buffers."""
+    """Memory, in bytes, that connections share for what does not fit into their first buffers."""
 
     def __init__(self, free: int) -> None:
         self.free = free
 
 
 class MessageBuffer:
-    """Received bytes of one connection. A message is handed out as (tag, view); the view holds until the next
-    call. The buffer grows with what has come, never with a length that was only claimed, as long as the pool
-    has room, and shrinks again when it is empty."""
+    """Received bytes of one connection, handed out message by message.
+
+    A message is a pair of tag and view; the view is valid until the next call. The buffer grows with the bytes
+    that have arrived, never with a length that was only claimed, as long as the pool has room, and shrinks again
+    when it is empty.
+
+    Args:
+        limit: The longest accepted message, in bytes.
+        pool: Pays for the size beyond `first`.
+        first: The initial size, in bytes.
+    """
 
     def __init__(self, limit: int, pool: BufferPool, first: int = 512):
-        self.limit, self.pool, self.first = limit, pool, first
+        self.limit = limit
+        self.pool = pool
+        self.first = first
         self.data = bytearray(first)
         self.head = self.tail = 0
 
@@ -53,7 +69,7 @@
         return self.tail - self.head
 
     def free_space(self) -> memoryview:
-        """Where the next bytes go."""
+        """Return where the next received bytes go. Raises ProtocolViolationError if the pool is exhausted."""
         if self.head == self.tail:
             self.head = self.tail = 0
             if len(self.data) > self.first:
@@ -67,22 +83,26 @@
         return memoryview(self.data)[self.tail :]
 
     def _resize(self, size: int) -> None:
-        more = size - len(self.data)
-        if more > self.pool.free:
+        growth = size - len(self.data)
+        if growth > self.pool.free:
             raise ProtocolViolationError("all room for large messages is taken")
-        self.pool.free -= more
+        self.pool.free -= growth
         self.data = bytearray(size)
 
     def release(self) -> None:
-        """Give back what the connection holds."""
+        """Return the memory of a closed connection to the pool."""
         self.pool.free += len(self.data) - self.first
         self.data, self.first, self.head, self.tail = bytearray(), 0, 0, 0
 
     def received(self, count: int) -> None:
+        """Count the bytes that were written into `free_space`."""
         self.tail += count
 
     def _take(self, start: int, length: int) -> memoryview | None:
-        """`length` counts itself, as on the wire."""
+        """Return the body of a message whose length field stands at `start`; `length` counts itself, as on the wire.
+
+        None while the message is incomplete. Raises ProtocolViolationError for a length that is out of bounds.
+        """
         if not 4 <= length <= self.limit:
             raise ProtocolViolationError(f"a message of length {length}")
         end = start + length
@@ -92,12 +112,13 @@
         return memoryview(self.data)[start + 4 : end]
 
     def next_startup_message(self) -> memoryview | None:
-        """The next message of the kind that has no tag."""
+        """Return the body of the next message of the kind without a tag; None while it is incomplete."""
         if len(self) < 4:
             return None
         return self._take(self.head, INT32.unpack_from(self.data, self.head)[0])
 
     def next_message(self) -> tuple[bytes, memoryview] | None:
+        """Return the tag and body of the next message; None while it is incomplete."""
         if len(self) < 5:
             return None
         tag, length = MESSAGE_HEADER.unpack_from(self.data, self.head)
@@ -106,6 +127,7 @@
 
 
 def encode_message(tag: bytes, *parts: bytes) -> list[bytes]:
+    """Return a message as buffers: its header, then the parts of its body."""
     return [MESSAGE_HEADER.pack(tag, 4 + sum([len(part) for part in parts])), *parts]
 
 
@@ -128,25 +150,30 @@
 
 
 def startup_message(user: str, database: str) -> bytes:
+    """Return a client's first message."""
     body = b"".join(part.encode() + b"\0" for part in ("user", user, "database", database)) + b"\0"
     return INT32.pack(8 + len(body)) + INT32.pack(STARTUP) + body
 
 
 def query_message(*parts: bytes) -> list[bytes]:
+    """Return a simple query whose text is the concatenated parts."""
     return encode_message(b"Q", *parts, b"\0")
 
 
 def error_response(state: bytes, text: str, detail: str = "", ready: bool = True) -> bytes:
-    """An error behind which the connection goes on: with ReadyForQuery, or, in the extended protocol, until Sync."""
+    """Return an error after which the connection goes on.
+
+    With `ready`, ReadyForQuery follows; without it, in the extended protocol, messages are skipped until Sync.
+    """
     return b"".join(_error_message(b"ERROR", state, text, detail)) + (READY_FOR_QUERY if ready else b"")
 
 
 def fatal_response(state: bytes, text: str, ready: bool) -> bytes:
-    """An error that ends its connection.
+    """Return an error that ends its connection.
 
-    By the protocol it is whole without ReadyForQuery, and in place of the welcome nothing may stand behind it. On a
-    connection that was welcomed a query may be on its way, and common clients drop the code of its answer
-    unless ReadyForQuery comes.
+    By the protocol it is complete without ReadyForQuery, and in place of the startup response nothing may follow it.
+    On a connection that had its startup response a query may be on its way, and common clients drop the code of the
+    answer to it unless ReadyForQuery follows.
     """
     return b"".join(_error_message(b"FATAL", state, text, "")) + (READY_FOR_QUERY if ready else b"")
 
@@ -159,17 +186,17 @@
 
 
 def error_sqlstate(body: memoryview) -> bytes:
-    """An ErrorResponse's SQLSTATE."""
+    """Return the SQLSTATE of an ErrorResponse."""
     return error_field(body, b"C")
 
 
 def ends_connection(body: memoryview) -> bool:
-    """Whether an ErrorResponse is the last message of its connection."""
+    """Return whether an ErrorResponse is the last message of its connection."""
     return (error_field(body, b"V") or error_field(body, b"S")) in (b"FATAL", b"PANIC")
 
 
 def begins_answer(tag: bytes, body: memoryview) -> bool:
-    """Whether a message is an answer's first: a row, or an error behind which the connection goes on."""
+    """Return whether a message is the first of an answer: a row, or an error after which the connection goes on."""
     return tag == b"T" or (tag == b"E" and not ends_connection(body))
 
 
@@ -181,7 +208,7 @@
 
 
 def error_field(body: memoryview, kind: bytes) -> bytes:
-    """The first field of this kind of an ErrorResponse; empty where it has none."""
+    """Return the first field of this kind of an ErrorResponse; empty if it has none."""
     for field in bytes(body).split(b"\0"):
         if field[:1] == kind:
             return field[1:]
