--- a/brookreach/net/listener.py
+++ b/brookreach/net/listener.py
@@ -1,6 +1,6 @@
 """The listening socket, and what an error of accept says about the connections that wait.
 
-It owns the socket. It must never decide who is let in.
+This module owns the socket. It does not decide which connections are admitted.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from brookreach.net.poller import IN, PolledSocket, Poller
 from brookreach.net.stream import parse_address
 
-# The machine or the process has no room for one more; those that wait go on waiting.
+# The machine or the process has no room for one more socket; waiting connections stay in the kernel's queue.
 EXHAUSTED = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 
 
@@ -28,9 +28,16 @@
 
 
 class Listener(PolledSocket):
-    """A listening socket; a restart takes the same address at once. Handler: `on_connection`.
+    """A listening socket, whose address a restarted process can take at once.
 
-    OSError where the address can't be listened on.
+    Args:
+        poller: Calls it when connections wait.
+        text: The address as `host:port`.
+        backlog: Connections that the kernel accepts ahead.
+        on_connection: Called when connections wait to be accepted.
+
+    Raises:
+        OSError: The address can't be listened on.
     """
 
     def __init__(self, poller: Poller, text: str, backlog: int, on_connection: Callable[[], object]) -> None:
@@ -47,19 +54,20 @@
         self.set_accepting(True)
 
     def set_accepting(self, on: bool) -> None:
-        """Whether connections that wait are told of."""
+        """Set whether `on_connection` is called for waiting connections."""
         self.poller.register(self, IN if on else 0)
 
     def handle_events(self, mask: int) -> None:
+        """Connections wait to be accepted."""
         self.on_connection()
 
-    def accept(self, tries: int) -> socket.socket | None:
-        """The next connection, None where nobody waits. Raises NoRoomError.
+    def accept(self, max_tries: int) -> socket.socket | None:
+        """Return the next connection, None if none waits. Raises NoRoomError.
 
-        Any other error is that of one connection, which has gone (accept(2)): the next one is looked at, so many
-        times at the most.
+        Any other error belongs to one connection, which has gone (accept(2)): the next one is tried, `max_tries`
+        connections at most.
         """
-        for _ in range(tries):
+        for _ in range(max_tries):
             try:
                 return self.sock.accept()[0]
             except BlockingIOError:
--- a/brookreach/net/stream.py
+++ b/brookreach/net/stream.py
@@ -1,9 +1,9 @@
 """Non-blocking connections: bytes received into a buffer, gathered writes.
 
-It owns file descriptors and how many bytes the kernel took. It must never know a protocol, nor try again.
+This module owns the file descriptors and how many bytes the kernel took. It knows no protocol and retries nothing.
 
-The driver's task waits by anyio for the epoll's own descriptor; then the handler of every ready socket runs
-to its end. A task and a wait for each socket cost several times an RPC's share of the core.
+The driver's task waits through anyio for the epoll's own descriptor; then the handler of every ready socket runs to
+its end. A task and a wait for each socket cost several times an RPC's share of the core.
 """
 
 from __future__ import annotations
@@ -15,12 +15,13 @@
 from brookreach.net.pgwire import MessageBuffer, ProtocolViolationError
 from brookreach.net.poller import ENDED, IN, OUT, RDHUP, PolledSocket, Poller
 
-# Errors of a call, not of the connection: it is tried again when the socket is ready.
+# Errors of a call, not of the connection: it is repeated when the socket is ready.
 TRANSIENT_ERRORS = frozenset({errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.ENOBUFS, errno.ENOMEM})
-SLICES = 64  # buffers given to the kernel in one call
+MAX_BUFFERS_PER_WRITE = 64
 
 
 def parse_address(text: str) -> tuple[str, int]:
+    """Return the host and port of `host:port`. Raises ValueError for any other text."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise ValueError(f"not an address with a port: {text!r}")
@@ -28,57 +29,64 @@
 
 
 class Stream(PolledSocket):
-    """One connected socket, or one that is coming up. Handlers: `on_connected`, `on_data`, `on_closed`."""
+    """One socket that is connected or connecting.
+
+    Subclasses implement `on_data` and `on_closed`, and may implement `on_connected` and `on_writable`.
+    """
 
     def __init__(self, poller: Poller, sock: socket.socket, inbound: MessageBuffer, connecting: bool = False) -> None:
         super().__init__(poller, sock)
-        with contextlib.suppress(OSError):  # it is only quicker with it
+        with contextlib.suppress(OSError):  # the connection works without it, only slower
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.inbound = inbound
         self.unsent: list[bytes | memoryview] = []  # what the kernel has not taken yet
-        self.connecting, self.reading = connecting, True
+        self.connecting = connecting
+        self.reading = True
         self.update_interest()
 
     def update_interest(self) -> None:
-        """What the epoll is to wake this for."""
+        """Tell the poller which events this socket waits for now."""
         out = OUT if self.unsent or self.connecting else 0
-        # Where nothing is read, bytes would hide the end behind them: the kernel tells it by itself.
+        # Where nothing is read, unread bytes would hide the end of the stream: RDHUP reports it independently of them.
         into = 0 if self.connecting else IN if self.reading else RDHUP
         self.poller.register(self, out | into)
 
     def close(self) -> None:
+        """Close the socket and release the buffer."""
         if not self.closed:
             super().close()
             self.inbound.release()
 
     def detach(self) -> socket.socket:
-        """Give its socket away as it stands, still open."""
+        """Hand over the socket as it stands, still open."""
         self.closed = True
         self.poller.unregister(self.fd)
         self.inbound.release()
         return self.sock
 
     def on_connected(self) -> None:
-        """The connection has come up."""
+        """The connection is established."""
 
     def on_data(self) -> None:
-        """Bytes have come."""
+        """Bytes have been received into `inbound`."""
         raise NotImplementedError
 
     def on_closed(self, why: str) -> None:
-        """The other side has ended or broken the connection, or what came is not the protocol."""
+        """The other side has ended or broken the connection, or the bytes received are not the protocol."""
         raise NotImplementedError
 
     def on_defect(self) -> None:
+        """End the connection after an exception in one of its handlers."""
         self.on_closed("a defect of ours")
 
     def on_writable(self) -> None:
-        """The kernel may have taken more of what had to wait, or the last of it."""
+        """The kernel may have taken more of the unsent bytes, or the last of them."""
 
     def handle_events(self, mask: int) -> None:
+        """Handle epoll events; a mask of 0 handles again what is in the buffer already."""
         try:
             if self.connecting:
-                self._dialed()
+                self._finish_connect()
                 return
             if mask & OUT and self.unsent:
                 self._send_pending()
@@ -88,7 +96,7 @@
                     self.update_interest()
                 self.on_writable()
             if not mask:
-                self.on_data()  # to be looked at again
+                self.on_data()
             elif mask & ENDED and not self.reading:
                 self.on_closed("end of stream")
             elif mask & ~OUT and not self.closed:
@@ -104,17 +112,21 @@
         except ProtocolViolationError as error:
             self.on_closed(f"not the protocol: {error}")
 
-    def _dialed(self) -> None:
-        failed = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        if failed:
-            raise OSError(failed, "could not connect")
-        self.sock.getpeername()  # raises while it is not up
+    def _finish_connect(self) -> None:
+        """Raises OSError if the connection has failed or is not established yet."""
+        failure = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        if failure:
+            raise OSError(failure, "could not connect")
+        self.sock.getpeername()  # raises ENOTCONN while the connection is not established
         self.connecting = False
         self.update_interest()
         self.on_connected()
 
     def send(self, buffers: list[bytes | memoryview]) -> None:
-        """At once as far as the kernel takes it, the rest when it takes more. OSError where it is broken."""
+        """Send what the kernel takes at once, and the rest when it takes more.
+
+        Raises OSError if the connection is broken.
+        """
         if self.unsent:
             self.unsent.extend(buffers)
             return
@@ -126,21 +138,21 @@
     def _send_pending(self) -> None:
         try:
             while self.unsent:
-                taken = self.sock.sendmsg(self.unsent[:SLICES])
+                taken = self.sock.sendmsg(self.unsent[:MAX_BUFFERS_PER_WRITE])
                 self.unsent = unsent_after(self.unsent, taken)
         except OSError as error:
             if error.errno not in TRANSIENT_ERRORS:
                 raise
 
-    def read_available(self, turns: int) -> None:
-        """Look at what has come since the last turn, so many times at the most."""
-        for _ in range(turns):
+    def read_available(self, max_reads: int) -> None:
+        """Read what has arrived since the last poll, in at most `max_reads` reads."""
+        for _ in range(max_reads):
             if self.closed or not self.reading or self.is_quiet():
                 return
             self.handle_events(IN)
 
     def is_quiet(self) -> bool:
-        """Whether an idle connection still stands, with nothing unread on it."""
+        """Return whether the connection still stands, with nothing unread in the kernel."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -150,14 +162,15 @@
         return False
 
     def shutdown_write(self) -> None:
-        with contextlib.suppress(OSError):  # the other side was quicker
+        """End our direction of the connection."""
+        with contextlib.suppress(OSError):  # the other side has ended it already
             self.sock.shutdown(socket.SHUT_WR)
 
 
 def unsent_after(buffers: list[bytes | memoryview], taken: int) -> list[bytes | memoryview]:
-    """What is left of the buffers after so many bytes."""
-    for at, one in enumerate(buffers):
-        if taken < len(one):
-            return [memoryview(one)[taken:], *buffers[at + 1 :]]
-        taken -= len(one)
+    """Return what remains of the buffers after their first `taken` bytes."""
+    for index, buffer in enumerate(buffers):
+        if taken < len(buffer):
+            return [memoryview(buffer)[taken:], *buffers[index + 1 :]]
+        taken -= len(buffer)
     return []
