--- a/brookreach/net/client.py
+++ b/brookreach/net/client.py
@@ -1,7 +1,7 @@
-"""One client's connection: queries read as RPCs, each answered once and in order.
+"""One client connection: queries read as RPCs, each answered once and in order.
 
-It owns what has been read of a connection and the order of the answers on it. It must never word an answer
-that the driver did not hand it, save for what can't be taken as an RPC; that is never worded as a pushback.
+This module owns what has been read of a connection and the order of the answers on it. It sends no answer that the
+driver did not hand it, except to what can't be taken as an RPC; such an answer is never a push back.
 """
 
 from __future__ import annotations
@@ -21,8 +21,7 @@
 if TYPE_CHECKING:
     from brookreach.net.clients import Clients
 
-EXTENDED = (b"P", b"B", b"D", b"E", b"C", b"H")  # of the extended protocol, all but Sync
-
+EXTENDED_TAGS = (b"P", b"B", b"D", b"E", b"C", b"H")  # of the extended protocol, all but Sync
 DEFECT = "a defect of ours"
 
 
@@ -33,40 +32,42 @@
         super().__init__(clients.poller, sock, pgwire.MessageBuffer(clients.limits.max_message_bytes, clients.pool))
         self.clients = clients
         self.answers = AnswerQueue(clients.limits)
-        self.unread_since = math.inf  # since when bytes may lie unread that we had no room or no turn for
+        self.unread_since = math.inf  # since when bytes may lie unread for which there was no room or no turn
         self.started = False  # the startup message has come
         self.skipping = False  # after an error in the extended protocol, until Sync
-        self.leaving = False  # we take no more of it, and end our side once all is answered
-        self.faults, self.heard_at = 0, time.monotonic()
+        self.leaving = False  # nothing more is read, and our side is ended once all is answered
+        self.invalid_statements = 0
+        self.heard_at = time.monotonic()
         clients.silent[self] = self.heard_at
 
     # --- reading ---
 
     def on_data(self) -> None:
+        """Handle the messages that have arrived."""
         self.heard_at = time.monotonic()
         if self.leaving:
             return
         try:
-            read_up = self._handle_messages()
+            is_all_handled = self._handle_messages()
         finally:
-            for slot in self.answers.advance_deadlines():
-                self.clients.receiver.shorten_deadline(slot.rpc_id, slot.due)
-        if read_up:
+            for answer in self.answers.advance_deadlines():
+                self.clients.receiver.shorten_deadline(answer.rpc_id, answer.due)
+        if is_all_handled:
             if self.unread_since < math.inf and self.is_quiet():
                 self.unread_since = math.inf
             self.close_if_idle()
         elif not self.closed and not self.leaving:
-            self.clients.partial.pop(self, None)  # what is half now is so since we stopped reading
-            self.reading = False  # enough under way; `_written` goes on reading
+            self.clients.partial.pop(self, None)  # a message is partial now because we stopped reading
+            self.reading = False  # enough is under way; `_on_all_written` resumes reading
             self.unread_since = min(self.unread_since, self.poller.events_since)
             self.update_interest()
 
     def _handle_messages(self) -> bool:
-        """Handle what has come, as far as there is room and turn for it; whether that was all."""
+        """Handle what has arrived while there is room and this turn lasts; return whether that was all."""
         limits, count = self.clients.limits, 0
         while not (self.closed or self.leaving or self.unsent) and self.answers.has_room():
             if count == limits.messages_per_turn:
-                self.clients.resumable.append(self)  # others have their turn
+                self.clients.resumable.append(self)  # other connections have their turn
                 return False
             count += 1
             if not self.started:
@@ -75,23 +76,23 @@
                     if len(self.inbound) > limits.max_startup_bytes:
                         raise pgwire.ProtocolViolationError("an endless startup message")
                     return True
-                self._startup(body)
+                self._handle_startup(body)
             else:
                 message = self.inbound.next_message()
                 if message is None:
-                    self._half(count > 1)
+                    self._note_partial_message(count > 1)
                     return True
-                self._message(message[0], message[1])
+                self._handle_message(message[0], message[1])
         return False
 
-    def _half(self, new: bool) -> None:
-        """All whole messages are handled; half of one may be left, `new` or the one that was there before."""
-        if new or not len(self.inbound):
+    def _note_partial_message(self, is_new: bool) -> None:
+        """All complete messages are handled; a partial one may remain, a new one or the one that was there before."""
+        if is_new or not len(self.inbound):
             self.clients.partial.pop(self, None)
         if len(self.inbound):
             self.clients.partial.setdefault(self, time.monotonic())
 
-    def _startup(self, body: memoryview) -> None:
+    def _handle_startup(self, body: memoryview) -> None:
         answer = startup_answer(body)
         if answer is None:
             self.end("a cancel request, which this protocol has no use for")
@@ -99,111 +100,112 @@
         self.started = answer == pgwire.STARTUP_RESPONSE
         self.send([answer])
 
-    def _message(self, tag: bytes, body: memoryview) -> None:
+    def _handle_message(self, tag: bytes, body: memoryview) -> None:
         if tag == b"Q":
             self._query(body)
         elif tag == b"X":
             self.close_after_answers("terminated")
         elif tag == b"S":
             self.skipping = False
-            self._in_order(pgwire.READY_FOR_QUERY)
+            self._answer_in_order(pgwire.READY_FOR_QUERY)
         elif tag == b"F":
-            self._in_order(pgwire.error_response(b"0A000", "no function calls"))
-        elif tag not in EXTENDED:
+            self._answer_in_order(pgwire.error_response(b"0A000", "no function calls"))
+        elif tag not in EXTENDED_TAGS:
             raise pgwire.ProtocolViolationError(f"unknown message {tag!r}")
         elif not self.skipping:
             self.skipping = True
-            self._in_order(pgwire.error_response(b"0A000", "simple queries only", ready=False))
+            self._answer_in_order(pgwire.error_response(b"0A000", "simple queries only", ready=False))
 
     def _query(self, body: memoryview) -> None:
         text = body[:-1] if len(body) and body[-1] == 0 else body
-        done = harmless_response(text)
-        if done is not None:
-            self._in_order(done)
+        response = harmless_response(text)
+        if response is not None:
+            self._answer_in_order(response)
             return
-        slot = PendingAnswer(self, size=len(text))
+        answer = PendingAnswer(self, size=len(text))
         came_at = min(self.unread_since, self.poller.events_since)
         try:
-            one = parse_statement(text, self.clients.limits.max_comment_bytes)
-            due = self.clients.drain.answer_due(came_at + one.wait_ms / 1000.0)
-            slot.rpc_id = self.clients.receiver.receive(one, slot, came_at)
-            if due > time.monotonic():  # else nothing is won by ending those before it
-                slot.due = due
+            statement = parse_statement(text, self.clients.limits.max_comment_bytes)
+            due = self.clients.drain.answer_due(came_at + statement.wait_ms / 1000.0)
+            answer.rpc_id = self.clients.receiver.receive(statement, answer, came_at)
+            if due > time.monotonic():  # else nothing is gained by ending the RPCs before it
+                answer.due = due
         except InvalidStatementError as error:
             self.clients.report.log("client", f"statement not taken: {error}")
-            self.faults += 1
-            if self.faults >= self.clients.limits.max_invalid_statements:
+            self.invalid_statements += 1
+            if self.invalid_statements >= self.clients.limits.max_invalid_statements:
                 raise pgwire.ProtocolViolationError("statements that can't be taken") from None
-            self._in_order(pgwire.error_response(error.state, str(error)))
+            self._answer_in_order(pgwire.error_response(error.state, str(error)))
             return
         self.clients.mark_busy(self)
-        self.answers.add(slot)
+        self.answers.add(answer)
 
     def on_defect(self) -> None:
-        """What was asked before is answered; what met the defect fails, which promises nothing."""
+        """Answer what was asked before; what met the defect fails with an error that promises nothing."""
         if self.closed:
             return
         try:
-            self._in_order(pgwire.fatal_response(b"XX000", "internal error", ready=self.started))
+            self._answer_in_order(pgwire.fatal_response(b"XX000", "internal error", ready=self.started))
             self.close_after_answers(DEFECT)
-        except Exception:  # the defect is in what answers: only this connection may end by it
+        except Exception:  # the defect is in what answers: it may end only this connection
             self.end(DEFECT)
 
     def on_closed(self, why: str) -> None:
+        """End a closed connection at once; one that broke the protocol gets an error after its answers."""
         if not why.startswith("not the protocol"):
             self.end(why)
             return
         self.clients.report.log("client", why)
         error = pgwire.fatal_response(b"08P01", why, ready=self.started)
-        if self.answers:  # it comes in its order, behind the answers of what was asked before
-            self._in_order(error)
+        if self.answers:  # the error has its place after the answers to what was asked before
+            self._answer_in_order(error)
         else:
             with contextlib.suppress(OSError):
                 self.send([error])
         self.close_after_answers(why)
 
     def close_after_answers(self, why: str) -> None:
-        """Take no more of what comes; what was asked before is answered first."""
+        """Read nothing more, and close once what was asked before is answered."""
         if not self.answers and not self.unsent:
             self.end(why)
         elif not self.leaving:
             self.clients.report.log("client", f"{why}: closed behind the answers under way")
-            self._take_no_more()
+            self._stop_reading()
 
-    def _take_no_more(self) -> None:
-        # Not read on: a request that crosses our end must stay unread, for then its client sends it again elsewhere.
+    def _stop_reading(self) -> None:
+        # A request that crosses our end must stay unread, for then its client sends it again elsewhere.
         self.leaving, self.reading = True, False
         self.clients.mark_busy(self)
         self.clients.partial.pop(self, None)
         self.inbound.head = self.inbound.tail
         self.update_interest()
-        self._end_side()
+        self._end_our_side()
 
-    def _end_side(self) -> None:
+    def _end_our_side(self) -> None:
         if not self.answers and not self.unsent:
             self.shutdown_write()
-            if not self.clients.is_stopping:  # then it is closed in time, should its client not do it
+            if not self.clients.is_stopping:  # closes it in time if its client does not
                 self.clients.silent.setdefault(self, time.monotonic())
 
     def end(self, why: str) -> None:
-        """Close it at once; RPCs that have no answer are given up for this reason."""
+        """Close the connection at once, and cancel its unanswered RPCs for this reason."""
         if self.closed:
             return
         self.close()
-        for rpc in self.answers.clear():
-            self.clients.receiver.cancel(rpc, why)
+        for rpc_id in self.answers.clear():
+            self.clients.receiver.cancel(rpc_id, why)
         self.clients.remove(self, why)
 
     # --- writing ---
 
-    def _in_order(self, answer: bytes) -> None:
-        slot = PendingAnswer(self)
+    def _answer_in_order(self, response: bytes) -> None:
+        answer = PendingAnswer(self)
         self.clients.mark_busy(self)
-        self.answers.add(slot)
-        slot.answer([answer])
+        self.answers.add(answer)
+        answer.answer([response])
 
     def flush(self) -> None:
-        """Write what is answered, up to the first RPC that is not."""
+        """Write the answers that are ready, up to the first RPC without one."""
         ready = self.answers.take_ready()
         if not ready or self.closed:
             return
@@ -215,12 +217,12 @@
         if self.unsent:
             self.clients.stalled.setdefault(self, time.monotonic())
         else:
-            self._written()
+            self._on_all_written()
 
-    def _written(self) -> None:
-        """The kernel has taken all that is answered: between RPCs, it may be closed now."""
+    def _on_all_written(self) -> None:
+        """The kernel has taken all answers: between RPCs, the connection may be closed now."""
         if self.leaving:
-            self._end_side()
+            self._end_our_side()
             return
         if not self.answers and self not in self.clients.silent:
             self.clients.idle[self] = self.poller.polled_at
@@ -228,18 +230,21 @@
             self.clients.resumable.append(self)
 
     def on_writable(self) -> None:
+        """The kernel has taken more of the answers."""
         self.clients.stalled.pop(self, None)
         if self.unsent:
             self.clients.stalled[self] = time.monotonic()
         else:
-            self._written()
+            self._on_all_written()
 
     def close_if_idle(self) -> None:
-        """While we stop, end our side between RPCs, once all that has come is answered; until the drain's deadline not
-        before its first RPC, nor in the midst of one."""
+        """While we stop, end our side between RPCs, once all that has arrived is answered.
+
+        Until the drain's deadline, a connection is not ended before its first RPC, nor within one.
+        """
         clients = self.clients
         if not clients.is_stopping or self.leaving or self.answers or self.unsent:
             return
         is_awaited = self in clients.silent or len(self.inbound) > 0
         if (clients.is_past_deadline or not is_awaited) and self.is_quiet():
-            self._take_no_more()
+            self._stop_reading()
