--- a/brookreach/net/driver.py
+++ b/brookreach/net/driver.py
@@ -67,13 +67,13 @@
         if self.wait_scope is not None:  # another task set it
             self.wait_scope.cancel()
 
-    def receive(self, statement: Statement, slot: PendingAnswer, came_at: float) -> int:
+    def receive(self, statement: Statement, answer: PendingAnswer, came_at: float) -> int:
         """Number an RPC and hand it to the module. `came_at`, by the monotonic clock, is the earliest that its
         last byte may have come: the client's wait has run since then. Raises InvalidStatementError."""
         method = self.methods.get(statement.method)
         if method is None:
             raise InvalidStatementError(b"22023", f"unknown class {statement.method!r}")
-        self.open_rpcs.add(self.rpc_count + 1, OpenRpc(statement, slot))
+        self.open_rpcs.add(self.rpc_count + 1, OpenRpc(statement, answer))
         self.rpc_count += 1
         self.enqueue(
             ifc.RpcReceived(
@@ -90,10 +90,10 @@
         )
         return self.rpc_count
 
-    def shorten_deadline(self, rpc: int, due: float) -> None:
+    def shorten_deadline(self, rpc_id: int, due: float) -> None:
         """Answers behind this one's are due then, by the monotonic clock."""
-        if rpc in self.open_rpcs:
-            self.enqueue(ifc.DeadlineShortened(rpc, self.clock.to_unix_ms(due)))
+        if rpc_id in self.open_rpcs:
+            self.enqueue(ifc.DeadlineShortened(rpc_id, self.clock.to_unix_ms(due)))
 
     def shorten_all_deadlines(self) -> None:
         """What is open now is due by the drain's deadline as well; `take` sees to what comes later."""
