--- a/brookreach/net/background_service.py
+++ b/brookreach/net/background_service.py
@@ -1,4 +1,4 @@
-"""What runs beside the balancer where the platform's `run` does not have it: a client of the coordination service."""
+"""A service beside the balancer that the platform's own `run` lacks: a client of the coordination service."""
 
 from __future__ import annotations
 
@@ -6,10 +6,16 @@
 
 
 class BackgroundService(Protocol):
-    """A task of what the platform's `run` does not have. It must never raise, nor make a stop wait."""
+    """A task that runs beside the balancer's own. It must never raise, nor make a shutdown wait."""
 
-    async def run(self) -> None: ...
+    async def run(self) -> None:
+        """Run until cancelled."""
+        ...
 
-    def begin_shutdown(self) -> None: ...
+    def begin_shutdown(self) -> None:
+        """The process was told to stop; RPCs are still answered."""
+        ...
 
-    async def finish_shutdown(self) -> None: ...
+    async def finish_shutdown(self) -> None:
+        """All RPCs are answered; the process exits when this returns."""
+        ...
--- a/brookreach/net/clock.py
+++ b/brookreach/net/clock.py
@@ -1,7 +1,4 @@
-"""The one clock that the module is told.
-
-It owns how monotonic and Unix time are tied. It must never step: a life of a marshal sees one rate.
-"""
+"""The clock of the balancer: Unix time that never steps."""
 
 from __future__ import annotations
 
@@ -9,13 +6,18 @@
 
 
 class Clock:
-    """Unix time in ms, as nodes' starts are told, read once and carried on by the monotonic clock."""
+    """Unix time in milliseconds, as the starts of nodes are given.
+
+    It is read once and carried on by the monotonic clock: between two starts the balancer sees one rate and no step.
+    """
 
     def __init__(self) -> None:
         self.offset_ms = (time.time() - time.monotonic()) * 1000.0
 
-    def to_unix_ms(self, monotonic: float) -> float:
-        return self.offset_ms + monotonic * 1000.0
+    def to_unix_ms(self, monotonic_s: float) -> float:
+        """Return a time of the monotonic clock as Unix time."""
+        return self.offset_ms + monotonic_s * 1000.0
 
     def now_ms(self) -> float:
+        """Return the Unix time now."""
         return self.to_unix_ms(time.monotonic())
--- a/brookreach/net/drain.py
+++ b/brookreach/net/drain.py
@@ -1,6 +1,6 @@
-"""The end of a process that was told to stop: fixed once, when the signal comes, by the monotonic clock.
+"""The times of a shutdown, fixed once when its signal comes.
 
-It owns when all answers are due and when the process ends. It must never answer an RPC or close a connection.
+This module owns when all answers are due and when the process exits. It answers no RPC and closes no connection.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 
 
 class Drain:
-    """The deadline of a stop; infinite until it begins. Times are seconds of the monotonic clock."""
+    """The deadline of a shutdown; infinite until it begins. Times are seconds of the monotonic clock."""
 
     def __init__(self, limits: Limits) -> None:
         self.limits = limits
         self.began_at = self.refuse_new_at = self.deadline = self.exit_at = math.inf
 
     def begin(self) -> None:
-        """The signal has come. A second one moves nothing."""
+        """The signal has come. A second one changes nothing."""
         if self.has_begun:
             return
-        # The kill is counted from the signal: whatever is late here must not move the end with it.
+        # The kill is counted from the signal: whatever is late here must not delay the exit.
         self.began_at = time.monotonic()
         self.deadline = self.began_at + self.limits.drain_timeout_s
         self.refuse_new_at = min(self.began_at + self.limits.refuse_new_after_s, self.deadline)
@@ -34,5 +34,5 @@
         return self.began_at < math.inf
 
     def answer_due(self, due: float) -> float:
-        """When an answer is due that its client waits for until `due`."""
+        """Return when an answer is due whose client waits for it until `due`."""
         return min(due, self.deadline)
--- a/brookreach/net/handshake.py
+++ b/brookreach/net/handshake.py
@@ -1,6 +1,7 @@
 """What a client's startup message asks for, and the answer; no I/O.
 
-It owns the codes of startup messages. It must never keep what they say: users and databases are all the same here.
+This module owns the codes of startup messages. It keeps nothing of what they say: all users and databases are the
+same here.
 """
 
 from __future__ import annotations
@@ -11,11 +12,9 @@
 
 
 def startup_answer(body: memoryview) -> bytes | None:
-    """The answer to a startup message's body: STARTUP_RESPONSE where the connection has started.
+    """Return the answer to a startup message's body, None for a cancel request, which gets no answer.
 
-    None for a cancel request, which gets no answer.
-
-    Raises ProtocolViolationError for what the protocol does not know.
+    With STARTUP_RESPONSE the connection has started. Raises ProtocolViolationError for a code that is unknown.
     """
     code = pgwire.INT32.unpack_from(body)[0] if len(body) >= 4 else 0
     if code in (pgwire.SSL, pgwire.GSSENC):
--- a/brookreach/net/rpc_receiver.py
+++ b/brookreach/net/rpc_receiver.py
@@ -1,4 +1,4 @@
-"""What takes RPCs from clients' connections: the driver, or what stands for it in a test."""
+"""What receives RPCs from client connections: the driver, or what stands for it in a test."""
 
 from __future__ import annotations
 
@@ -10,14 +10,24 @@
 
 
 class RpcReceiver(Protocol):
-    """What takes RPCs: the driver."""
+    """What client connections need of the driver."""
 
-    def receive(self, statement: Statement, slot: PendingAnswer, came_at: float) -> int: ...
+    def receive(self, statement: Statement, answer: PendingAnswer, came_at: float) -> int:
+        """Take an RPC and return its id; see `Driver.receive`."""
+        ...
 
-    def shorten_deadline(self, rpc: int, due: float) -> None: ...
+    def shorten_deadline(self, rpc_id: int, due: float) -> None:
+        """An open RPC is due sooner, at `due` by the monotonic clock in seconds."""
+        ...
 
-    def cancel(self, rpc: int, why: str) -> None: ...
+    def cancel(self, rpc_id: int, why: str) -> None:
+        """The connection of an RPC has ended, for this reason."""
+        ...
 
-    def available_links(self) -> int: ...
+    def available_links(self) -> int:
+        """Return how many connections to nodes may still be made."""
+        ...
 
-    def schedule_timeout(self, delay_ms: float, what: Expirable) -> None: ...
+    def schedule_timeout(self, delay_ms: float, target: Expirable) -> None:
+        """Expire `target` after a delay."""
+        ...
--- a/brookreach/net/timers.py
+++ b/brookreach/net/timers.py
@@ -1,6 +1,6 @@
-"""Timers in the order in which they are due: those of the decisions, by token, and alarms of the network side.
+"""Timers in the order in which they are due: those of the balancer, by token, and timeouts of the network side.
 
-It owns the order. It must never wait.
+This module owns the order. It never waits.
 """
 
 from __future__ import annotations
@@ -12,24 +12,29 @@
 
 
 class Timers:
-    """A heap; timers of the same time ring in the order in which they were set. Times are ms of the driver's clock."""
+    """A heap; timers of the same time fire in the order in which they were set.
+
+    Times are milliseconds of the driver's clock.
+    """
 
     def __init__(self) -> None:
-        self.heap: list[tuple[float, int, int | Expirable]] = []  # when, in what order set, token or alarm
+        self.heap: list[tuple[float, int, int | Expirable]] = []  # when, in what order set, token or timeout
         self.count = 0
 
-    def schedule(self, at: float, what: int | Expirable) -> None:
+    def schedule(self, at_ms: float, target: int | Expirable) -> None:
+        """Set a timer for a token of the balancer or for a timeout."""
         self.count += 1
-        heapq.heappush(self.heap, (at, self.count, what))
+        heapq.heappush(self.heap, (at_ms, self.count, target))
 
     def next_due_ms(self) -> float:
-        """When the next one is due, infinite where there is none."""
+        """Return when the next timer is due; infinite if there is none."""
         return self.heap[0][0] if self.heap else math.inf
 
     def pop(self) -> int | Expirable:
+        """Remove the next timer and return its target."""
         return heapq.heappop(self.heap)[2]
 
     def drop_tokens(self) -> None:
-        """Keep only alarms: the decisions that set the others have ended."""
+        """Keep only timeouts: the balancer that set the other timers is gone."""
         self.heap = [timer for timer in self.heap if isinstance(timer[2], Expirable)]
         heapq.heapify(self.heap)
