--- a/brookreach/net/runtime.py
+++ b/brookreach/net/runtime.py
@@ -20,9 +20,10 @@
 from brookreach.configuration import StartupError, read_address, read_configuration, read_seed
 from brookreach.net.background_service import BackgroundService
 from brookreach.net.clients import Clients
+from brookreach.net.clock import Clock
 from brookreach.net.discovery import JSON_ERRORS, DiscoveryClient
 from brookreach.net.drain import Drain
-from brookreach.net.driver import Clock, Driver
+from brookreach.net.driver import Driver
 from brookreach.net.limits import Limits, limits_from
 from brookreach.net.listener import EXHAUSTED
 from brookreach.net.platform import ROLLOUT_PHASES, PlatformClient, rollout_status_from
--- a/tests/peers_nodes.py
+++ b/tests/peers_nodes.py
@@ -11,8 +11,9 @@
 
 from brookreach import interface as ifc
 from brookreach.net import pgwire
+from brookreach.net.clock import Clock
 from brookreach.net.drain import Drain
-from brookreach.net.driver import Clock, Driver
+from brookreach.net.driver import Driver
 from brookreach.net.endpoint import ListedNode
 from brookreach.net.in_flight import PickResult
 from brookreach.net.limits import limits_from
