--- a/brookreach/net/runtime.py
+++ b/brookreach/net/runtime.py
@@ -1,7 +1,7 @@
-"""One balancer process: its parts, built from its configuration, and their tasks from the start to the end.
+"""One balancer process: its components, built from the configuration, and their tasks from start to exit.
 
-It owns the order of the start and what a signal does. It must never touch an RPC, nor start to listen before the
-driver can take one.
+This module owns the order of the start and what a signal does. It handles no RPC, and does not listen before the
+driver can receive one.
 """
 
 from __future__ import annotations
@@ -34,8 +34,10 @@
 from brookreach.settings_object import SettingsError, SettingsObject
 
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
-LISTEN_TRIES, LISTEN_AGAIN_S = 50, 0.1  # a machine may have no descriptor or memory for a moment
-early_hangups: list[int] = []  # SIGHUPs that came before the parts were there
+# The machine may have no descriptor or memory for a moment.
+LISTEN_TRIES = 50
+LISTEN_RETRY_S = 0.1
+early_hangups: list[int] = []  # SIGHUPs that came before the components were built
 
 
 class BalancerRuntime:
@@ -175,7 +177,7 @@
                 self.listen_error = error
                 if error.errno not in EXHAUSTED:
                     return False
-                await anyio.sleep(LISTEN_AGAIN_S)
+                await anyio.sleep(LISTEN_RETRY_S)
             else:
                 self.listen_error = None
                 self.driver.on_queue_empty = self.clients.resume_reading
