--- a/brookreach/__main__.py
+++ b/brookreach/__main__.py
@@ -9,7 +9,7 @@
 import sys
 
 if __name__ == "__main__" and len(sys.argv) < 2:
-    # A SIGHUP while the rest is imported would end us. The configuration that it tells of is read after that.
+    # A SIGHUP during the imports would end the process. The configuration that it announces is read after them.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 import gc
@@ -26,7 +26,7 @@
 
 
 def block_signals() -> None:
-    """Once nothing is owed any more, a further signal must not change how the process ends."""
+    """Block further signals: once nothing is owed any more, they must not change how the process exits."""
     signal.pthread_sigmask(signal.SIG_BLOCK, {*STOP_SIGNALS, signal.SIGHUP})
 
 
@@ -35,8 +35,12 @@
     record: Path | None = None,
     make_service: Callable[[BalancerRuntime], BackgroundService] | None = None,
 ) -> int:
-    """One marshal to its end; `lines` makes by its name what writes its log, if not plain; `record` is where
-    the verdicts on its last builds are kept, if anywhere; `make_service` makes a task that runs beside its own.
+    """Run one balancer to its end, and return the exit code.
+
+    Args:
+        lines: By the balancer's name, what writes its log; plain text on standard error if None.
+        record: Where the verdicts on its last builds are kept, if anywhere.
+        make_service: Makes a service that runs beside the balancer's own tasks.
     """
     signal.signal(signal.SIGHUP, lambda number, frame: early_hangups.append(number))
     try:
@@ -48,7 +52,7 @@
         if make_service is not None:
             runtime.background_services.append(make_service(runtime))
         runtime.before_exit = block_signals
-        gc.freeze()  # what stands now stays: collections need not look at it
+        gc.freeze()  # what is allocated now stays: collections need not visit it
         gc.set_threshold(runtime.limits.gc_threshold)
         anyio.run(runtime.run)
         if record is not None:
@@ -60,7 +64,7 @@
 
 
 def main() -> int:
-    """Without a word the marshal, as the platform starts it; with words the command line."""
+    """Run the balancer, as the platform starts it, or with arguments the command line."""
     if len(sys.argv) < 2:
         return serve()
     from brookreach.cli.main import main as commands
--- a/brookreach/net/runtime.py
+++ b/brookreach/net/runtime.py
@@ -41,48 +41,59 @@
 
 
 class BalancerRuntime:
-    """All parts of one marshal, built from its configuration."""
+    """All components of one balancer process.
 
-    def __init__(self, told: Mapping[str, Any], lines: LineWriterFactory | None = None):
+    Args:
+        configuration: The content of its configuration file, completed from the environment.
+        lines: By the balancer's name, what writes its log; plain text on standard error if None.
+
+    Raises:
+        StartupError: The configuration can't be used.
+    """
+
+    def __init__(self, configuration: Mapping[str, Any], lines: LineWriterFactory | None = None):
         try:
-            top = SettingsObject(told, "configuration")
+            top = SettingsObject(configuration, "configuration")
             deployer, known, settings = top.object("deployer"), top.object("known"), top.object("settings")
-            start = read_balancer_settings(read_seed(top), settings.values)
+            balancer_settings = read_balancer_settings(read_seed(top), settings.values)
             self.limits: Limits = limits_from(top.value("limits"), settings.values)
-            name, self.listen_address, _ = top.text("name"), top.text("listen"), read_address(top, "listen")
+            name = top.text("name")
+            self.listen_address = top.text("listen")
+            read_address(top, "listen")
             self.report = Report(name, self.limits.log_lines_per_s, lines(name) if lines else None)
             self.poller = Poller(self.limits.sockets_per_turn, self.log_fault)
             self.drain = Drain(self.limits)
-            self.driver = Driver(start, self.limits, self.report, Clock(), self.poller, self.drain)
-            self.configuration, self.stops, self.serving = told, False, anyio.Event()
-            self.background_services: list[BackgroundService] = []  # what `run` switches on
-            self.before_exit: Callable[[], object] = list  # called as the signals' receiver is about to be closed
-            chance = random.Random(start.seed)
+            self.driver = Driver(balancer_settings, self.limits, self.report, Clock(), self.poller, self.drain)
+            self.configuration = configuration
+            self.is_stopping = False
+            self.serving = anyio.Event()
+            self.background_services: list[BackgroundService] = []  # that `brookreach run` adds
+            self.before_exit: Callable[[], object] = list  # called before the signal receiver is closed
+            rng = random.Random(balancer_settings.seed)
             self.discovery = DiscoveryClient(
                 self.limits,
                 self.report,
                 settings.texts("zones"),
                 settings.texts("skus"),
-                chance,
+                rng,
                 self.driver.on_node_list,
             )
-            stages = len(start.rollout.stage_shares)
+            stages = len(balancer_settings.rollout.stage_shares)
             self.platform = PlatformClient(
                 self.limits,
                 self.report,
-                [method.name for method in start.methods],
+                [method.name for method in balancer_settings.methods],
                 stages,
                 read_address(deployer, "address"),
-                chance,
+                rng,
                 self.driver.enqueue,
             )
             self.discovery.set_address(read_address(top, "discovery"))
             news = deployer.object("news")
-            news.count("version"), news.count("step", stages - 1), news.choice("status", ROLLOUT_PHASES)
-            news.number("maxWeight"), news.number("observedAgoMs")
+            _check_news(news, stages)
             self.initial_status: ifc.RolloutStatus = rollout_status_from(news.values, stages)
             self.driver.start_balancer()
-            known.count("revision"), known.flag("complete"), [m.text("id") for m in known.objects("members")]
+            _check_known_nodes(known)
             self.discovery.apply_listing(known.values, cached=True)
         except SettingsError as error:
             raise StartupError(str(error)) from None
@@ -91,26 +102,31 @@
         self.driver.enqueue(self.initial_status)
 
     def log_fault(self, trace: str) -> None:
+        """Log the traceback of a defect."""
         self.report.log("fault", trace)
 
-    def configure(self, told: Mapping[str, Any]) -> None:
-        """A new configuration while serving: where discovery and the platform are, both or neither."""
+    def configure(self, configuration: Mapping[str, Any]) -> None:
+        """Take from a new configuration where discovery and the platform are, both or neither.
+
+        Raises StartupError for an address that can't be read.
+        """
         try:
-            discovery, platform = parse_address(told["discovery"]), parse_address(told["deployer"]["address"])
+            discovery = parse_address(configuration["discovery"])
+            platform = parse_address(configuration["deployer"]["address"])
         except JSON_ERRORS as error:
             raise StartupError(f"discovery or deployer.address: {type(error).__name__} {error}") from None
         fixed = ("name", "listen", "limits", "settings")
-        other = [name for name in fixed if told.get(name) != self.configuration.get(name)]
+        changed = [name for name in fixed if configuration.get(name) != self.configuration.get(name)]
         self.report.log(
             "marshal",
             f"configuration read: discovery {discovery}, platform {platform}"
-            + (f"; {', '.join(other)} stay until a restart" if other else ""),
+            + (f"; {', '.join(changed)} stay until a restart" if changed else ""),
         )
         self.discovery.set_address(discovery)
         self.platform.set_address(platform)
 
     def on_hangup(self) -> None:
-        """SIGHUP. What can't be read changes nothing."""
+        """Read the configuration again at SIGHUP. What can't be read changes nothing."""
         try:
             self.configure(read_configuration(os.environ))
         except StartupError as error:
@@ -119,7 +135,8 @@
             self.log_fault(traceback.format_exc(limit=-2))
 
     async def run(self) -> None:
-        self.listen_error: OSError | None = None  # why its address can't be listened on
+        """Serve until a signal ends the process. Raises StartupError if its address can't be listened on."""
+        self.listen_error: OSError | None = None
         try:
             await self._serve()
         finally:
@@ -133,15 +150,15 @@
             background_tasks = [service.run for service in self.background_services]
             for task in (self.driver.run, self.platform.follow, self.discovery.follow, *background_tasks):
                 tasks.start_soon(task)
-            # Open to the end: a signal that comes while it stops must not end it either.
+            # Open until the exit: a signal that comes during the shutdown must not end it either.
             with anyio.open_signal_receiver(*STOP_SIGNALS, signal.SIGHUP) as signals:
-                self._note_stops()
-                # What the agent has counts as told from our first moment: no RPC before it is heard.
+                self._begin_drain_at_signal()
+                # What the agent has counts as known from the start: no RPC is taken before it is heard.
                 with anyio.move_on_after(self.limits.initial_list_wait_s):
                     await self.discovery.list_received.wait()
                 if self.drain.has_begun:
                     self.report.log("marshal", "stops before it serves")
-                    self._end(tasks.cancel_scope)
+                    self._exit(tasks.cancel_scope)
                     return
                 if not await self.listen():
                     tasks.cancel_scope.cancel()
@@ -151,23 +168,26 @@
                 self.serving.set()
                 if early_hangups:
                     self.on_hangup()
-                async for one in signals:
-                    if one == signal.SIGHUP:
+                async for number in signals:
+                    if number == signal.SIGHUP:
                         self.on_hangup()
-                    elif not self.stops:
-                        self.stops = True
+                    elif not self.is_stopping:
+                        self.is_stopping = True
                         for service in self.background_services:
                             service.begin_shutdown()
                         tasks.start_soon(self.stop, tasks.cancel_scope)
 
-    def _note_stops(self) -> None:
-        """Fix the end of a stop as its signal comes: the loop, which the receiver wakes, may be late."""
+    def _begin_drain_at_signal(self) -> None:
+        """Fix the end of a shutdown as its signal comes: the event loop, which the receiver wakes, may be late."""
         for number in STOP_SIGNALS:
             signal.signal(number, lambda _number, _frame: self.drain.begin())
             signal.siginterrupt(number, False)
 
     async def listen(self) -> bool:
-        """Whether it listens; tried again for a while where the machine has no room for the socket."""
+        """Listen for clients; return whether that succeeded.
+
+        It is tried again for a while if the machine has no room for the socket.
+        """
         for _ in range(LISTEN_TRIES):
             try:
                 self.clients = Clients(
@@ -185,17 +205,36 @@
         return False
 
     async def stop(self, all_tasks: anyio.CancelScope) -> None:
+        """Shut down, then cancel all tasks."""
         await Shutdown(self.drain, self.driver, self.clients, self.report).run()
         for service in self.background_services:
             await service.finish_shutdown()
-        self._end(all_tasks)
+        self._exit(all_tasks)
 
-    def _end(self, all_tasks: anyio.CancelScope) -> None:
+    def _exit(self, all_tasks: anyio.CancelScope) -> None:
         self.before_exit()
         all_tasks.cancel()
 
     async def sweep(self) -> None:
+        """Close what has been idle or silent for long, again and again."""
         while True:
             await anyio.sleep(self.limits.sweep_interval_s)
             for sweep in (self.driver.nodes.sweep, self.clients.sweep):
                 run_logging_errors(self.report, sweep)  # a defect must not end the RPCs under way
+
+
+def _check_news(news: SettingsObject, stages: int) -> None:
+    """Raises SettingsError, which names the key, for a rollout status that can't be read."""
+    news.count("version")
+    news.count("step", stages - 1)
+    news.choice("status", ROLLOUT_PHASES)
+    news.number("maxWeight")
+    news.number("observedAgoMs")
+
+
+def _check_known_nodes(known: SettingsObject) -> None:
+    """Raises SettingsError, which names the key, for a list of nodes that can't be read."""
+    known.count("revision")
+    known.flag("complete")
+    for member in known.objects("members"):
+        member.text("id")
