--- a/brookreach/__main__.py
+++ b/brookreach/__main__.py
@@ -42,7 +42,7 @@
         record: Where the verdicts on its last builds are kept, if anywhere.
         make_service: Makes a service that runs beside the balancer's own tasks.
     """
-    signal.signal(signal.SIGHUP, lambda number, frame: early_hangups.append(number))
+    signal.signal(signal.SIGHUP, lambda number, _frame: early_hangups.append(number))
     try:
         runtime = BalancerRuntime(read_configuration(os.environ), lines)
         if record is not None:
--- a/brookreach/simulator_adapter/__main__.py
+++ b/brookreach/simulator_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m brookreach.simulator_adapter`: the decisions on the bench's wire, standard input to standard output."""
+"""`python -m brookreach.simulator_adapter`: decisions over the simulator's wire, on standard input and output."""
 
 import sys
 
