--- a/brookreach/net/backoff.py
+++ b/brookreach/net/backoff.py
@@ -1,26 +1,42 @@
-"""How long one waits before a call that failed is made again.
+"""Exponential backoff with jitter: how long to wait before a failed call is repeated.
 
-It owns the growth of the pause and its chance part: marshals that lost a service together must not call it
-together again. It must never sleep, nor know what was called.
+This module owns the growth and the jitter of the delays: balancers that lost a service together must not call it
+again together. It must never sleep, nor know what was called.
 """
 
 from __future__ import annotations
 
 import random
 
+GROWTH_FACTOR = 2.0  # of the delay after each failure
+MIN_JITTER = 0.5  # a delay is multiplied by a random factor between these two
+MAX_JITTER = 1.5
+
 
 class Backoff:
-    """Pauses in seconds: none at first, then `initial_s` and twice as long after each failure, up to `max_s`;
-    each of them half as long to half as long again by chance. What served sets them back."""
+    """The delays, in seconds, between repeated calls to one service.
+
+    The first delay is 0, the next `initial_s`, and each further one doubles up to `max_s`. Each is multiplied by a
+    random factor between 0.5 and 1.5. A call that succeeds starts the sequence again.
+
+    Args:
+        initial_s: The delay after the first failure, before jitter.
+        max_s: The longest delay, before jitter.
+        rng: The source of the jitter.
+    """
 
     def __init__(self, initial_s: float, max_s: float, rng: random.Random) -> None:
-        self.initial_s, self.max_s, self.rng, self.next_s = initial_s, max_s, rng, 0.0
+        self.initial_s = initial_s
+        self.max_s = max_s
+        self.rng = rng
+        self.next_s = 0.0  # before jitter
 
     def next_delay_s(self) -> float:
-        """How long to wait before the next call; should it fail too, the one after it waits longer."""
-        pause_s = self.next_s * self.rng.uniform(0.5, 1.5)
-        self.next_s = min(max(2.0 * self.next_s, self.initial_s), self.max_s)
-        return pause_s
+        """Return how long to wait before the next call, and lengthen the delay after it in case that fails too."""
+        delay_s = self.next_s * self.rng.uniform(MIN_JITTER, MAX_JITTER)
+        self.next_s = min(max(GROWTH_FACTOR * self.next_s, self.initial_s), self.max_s)
+        return delay_s
 
     def reset(self) -> None:
+        """Start again without a delay: the last call succeeded, or the next one goes to another address."""
         self.next_s = 0.0
