--- a/brookreach/net/endpoint.py
+++ b/brookreach/net/endpoint.py
@@ -1,6 +1,6 @@
-"""What is known of one node: its listing, and which of its connections are idle.
+"""The network side's record of one node: its entry in discovery's list and its idle connections.
 
-It owns the marks by which picks and connections that an older listing made right are told apart. It must never
+This module owns the counters that tell picks and connections of an outdated listing from current ones. It must never
 open or close a connection.
 """
 
@@ -17,20 +17,26 @@
 
 
 class ListedNode:
-    """A node as discovery tells it."""
+    """A node as discovery lists it.
+
+    Args:
+        entry: What the decisions need to know of it.
+        address: Its host and port.
+    """
 
     def __init__(self, entry: ifc.NodeEntry, address: tuple[str, int]) -> None:
-        self.entry, self.address = entry, address
+        self.entry = entry
+        self.address = address
 
 
 class Endpoint:
-    """One node. The connection that was used last is taken first."""
+    """One node's listing and connections. The connection that was used last is reused first."""
 
     def __init__(self, listed: ListedNode) -> None:
         self.listed = listed
-        self.pick_epoch = 0  # moves when picks that are decided but not written must not be written any more
-        self.connection_generation = (
-            0  # moves when its connections lead to a process that has gone or wants nothing new
-        )
-        self.idle_connections: deque[NodeConnection] = deque()
-        self.single_use_until = -math.inf  # its order of answers proves nothing: each connection is used once
+        self.pick_epoch = 0  # advances when picks that are decided but not yet written must not be written any more
+        # Advances when existing connections lead to a process that has gone, or to a node that takes nothing new.
+        self.connection_generation = 0
+        self.idle_connections: deque[NodeConnection] = deque()  # in the order in which they became idle
+        # In monotonic seconds. Until then each connection carries one query: the order of its answers proves nothing.
+        self.single_use_until = -math.inf
