--- a/brookreach/net/in_flight.py
+++ b/brookreach/net/in_flight.py
@@ -1,13 +1,13 @@
-"""A pick that is under way at a node, and how it ended.
+"""A query that is in flight to a node, a pick or a probe, and its outcome.
 
-It owns the one outcome of a pick: what was not written whole never ran, what was may have. It must never read or
-write a connection.
+This module owns the one outcome of a pick: a query that was not written completely never ran, one that was may have
+run. It must never read or write a connection.
 """
 
 from __future__ import annotations
 
 import time
-from typing import Protocol
+from typing import Final, Protocol
 
 from brookreach import interface as ifc
 from brookreach.net import pgwire
@@ -17,10 +17,20 @@
 
 Outcome = ifc.Outcome
 PROBE_QUERY = pgwire.query_message(b"SELECT 1")
+MS_PER_S: Final = 1000.0
 
 
 class PickResult:
-    """How a pick ended; `answer` are the node's messages where it ended ok."""
+    """How a pick ended, put into the driver's queue.
+
+    Args:
+        rpc_id: The number of its RPC.
+        pick_index: Its number among the picks of that RPC, from 0.
+        node: The number of its node.
+        outcome: How it ended.
+        duration_ms: The time from its start to its end.
+        answer: The node's messages if it ended with `OK`, else empty.
+    """
 
     def __init__(
         self,
@@ -31,36 +41,62 @@
         duration_ms: float,
         answer: list[bytes | memoryview],
     ) -> None:
-        self.rpc_id, self.pick_index, self.node, self.outcome = rpc_id, pick_index, node, outcome
-        self.duration_ms, self.answer = duration_ms, answer
+        self.rpc_id = rpc_id
+        self.pick_index = pick_index
+        self.node = node
+        self.outcome = outcome
+        self.duration_ms = duration_ms
+        self.answer = answer
 
 
 class DriverCallbacks(Protocol):
-    """Whom outcomes are told to: the driver."""
+    """What connections to nodes need of the driver."""
 
-    def enqueue(self, event: ifc.Event | PickResult) -> None: ...
+    def enqueue(self, event: ifc.Event | PickResult) -> None:
+        """Queue an event."""
+        ...
 
-    def is_open(self, rpc: int) -> bool: ...
+    def is_open(self, rpc: int) -> bool:
+        """Whether the RPC still waits for an answer."""
+        ...
 
-    def schedule_timeout(self, delay_ms: float, what: Expirable) -> None: ...
+    def schedule_timeout(self, delay_ms: float, what: Expirable) -> None:
+        """Call `what.expire()` after `delay_ms` milliseconds."""
+        ...
 
 
 class QueryTransport(Protocol):
-    """The connection that a pick goes over."""
+    """The connection that a query is sent over; see `NodeConnection`."""
 
-    def is_partly_written(self) -> bool: ...
+    def is_partly_written(self) -> bool:
+        """Whether the kernel has taken only a part of the query."""
+        ...
 
-    def is_written(self) -> bool: ...
+    def is_written(self) -> bool:
+        """Whether the kernel has taken the last byte of the query."""
+        ...
 
-    def read_pending(self) -> None: ...
+    def read_pending(self) -> None:
+        """Handle what has arrived since the last turn of the poller."""
+        ...
 
-    def discard(self) -> None: ...
+    def discard(self) -> None:
+        """Close the connection."""
+        ...
 
 
 class InFlightQuery(Expirable):
-    """A pick that has no outcome yet, or a probe (`rpc_id` 0). Its last byte is written within `write_within_ms`.
-
-    `picks_in_flight` holds the picks in flight by RPC and number; it leaves this one as it ends.
+    """A pick, or a probe (`rpc_id` 0), that has no outcome yet.
+
+    Args:
+        driver: Is told the outcome.
+        picks_in_flight: All picks in flight by RPC and index; a pick leaves it when it ends.
+        endpoint: Its node.
+        rpc_id: The number of its RPC.
+        pick_index: Its number among the picks of that RPC, from 0.
+        timeout_ms: The time until it ends with `TIMEOUT`.
+        write_within_ms: The time within which its last byte must be written.
+        statement: The RPC's statement, None for a probe.
     """
 
     def __init__(
@@ -74,25 +110,28 @@
         write_within_ms: float,
         statement: Statement | None,
     ) -> None:
-        self.driver, self.picks_in_flight = driver, picks_in_flight
-        self.endpoint, self.rpc_id, self.pick_index, self.statement = endpoint, rpc_id, pick_index, statement
-        self.node, self.pick_epoch = endpoint.listed.entry.node, endpoint.pick_epoch
-        self.started_at = time.monotonic()
-        self.deadline, self.write_deadline = (
-            self.started_at + timeout_ms / 1000.0,
-            self.started_at + write_within_ms / 1000.0,
-        )
+        self.driver = driver
+        self.picks_in_flight = picks_in_flight
+        self.endpoint = endpoint
+        self.rpc_id = rpc_id
+        self.pick_index = pick_index
+        self.statement = statement
+        self.node = endpoint.listed.entry.node
+        self.pick_epoch = endpoint.pick_epoch
+        self.started_at = time.monotonic()  # in seconds, as the deadlines are
+        self.deadline = self.started_at + timeout_ms / MS_PER_S
+        self.write_deadline = self.started_at + write_within_ms / MS_PER_S
         self.transport: QueryTransport | None = None
         self.is_finished = False
 
     def encode_query(self) -> list[bytes | memoryview]:
-        """The query as it is written now, with the wait that is left."""
+        """Return the query as it is to be written now, with the time that is left of its timeout."""
         if self.statement is None:
             return list(PROBE_QUERY)
-        return self.statement.encode_query((self.deadline - time.monotonic()) * 1000.0)
+        return self.statement.encode_query((self.deadline - time.monotonic()) * MS_PER_S)
 
     def is_obsolete(self) -> bool:
-        """Whether what made this pick right when it was decided has gone: listing, cap, window or client."""
+        """Whether the reasons for this pick are gone: its listing, its cap, its time to be written or its client."""
         return (
             self.pick_epoch != self.endpoint.pick_epoch
             or time.monotonic() >= self.write_deadline
@@ -103,46 +142,49 @@
         return self.statement is None or self.driver.is_open(self.rpc_id)
 
     def expire(self) -> None:
-        """Its time is over."""
+        """End it by its timeout, unless its answer has arrived."""
         if self.transport is not None and not self.is_finished:
-            self.transport.read_pending()  # in a long turn its answer may have come, and not been looked at
+            self.transport.read_pending()  # in a long turn its answer may have arrived without being handled
         self.cancel(Outcome.TIMEOUT)
 
     def cancel(self, outcome: ifc.Outcome) -> None:
-        """End it by time or by the module's wish. Before its last byte was written, it never ran."""
+        """End it with `outcome`, or as never run if its last byte was not written; by timeout or by a decision."""
         if self.is_finished:
             return
-        link = self.transport
-        if link is None or not link.is_written():
+        transport = self.transport
+        if transport is None or not transport.is_written():
             outcome = Outcome.NO_CONNECT if outcome == Outcome.TIMEOUT else Outcome.MOOT
-        if link is not None:
-            link.discard()  # before the outcome is told: a further pick must be no second copy
+        if transport is not None:
+            transport.discard()  # before the outcome is reported: a further pick must not be a second copy
         self.finish(outcome, [])
 
     def cancel_if_partly_written(self) -> None:
-        """A query of which the kernel took only a part is never made whole."""
+        """End it if the kernel has taken only a part of the query: the rest is never written."""
         if self.transport is not None and self.transport.is_partly_written():
             self.cancel(Outcome.MOOT)
 
     def finish(self, outcome: ifc.Outcome, answer: list[bytes | memoryview]) -> None:
-        """Tell its outcome, once."""
+        """Report its outcome; only the first call does."""
         if self.is_finished:
             return
-        self.is_finished, self.transport = True, None
-        took = (time.monotonic() - self.started_at) * 1000.0
-        statement, self.statement = self.statement, None  # its alarm keeps this for long
+        self.is_finished = True
+        self.transport = None
+        duration_ms = (time.monotonic() - self.started_at) * MS_PER_S
+        statement = self.statement
+        self.statement = None  # freed now: the driver's timer keeps this object for long
         if statement is None:
-            self.driver.enqueue(ifc.ProbeEnded(self.node, outcome, took, {}))
+            self.driver.enqueue(ifc.ProbeEnded(self.node, outcome, duration_ms, {}))
         else:
             self.picks_in_flight.pop((self.rpc_id, self.pick_index), None)
-            self.driver.enqueue(PickResult(self.rpc_id, self.pick_index, self.node, outcome, took, answer))
+            self.driver.enqueue(PickResult(self.rpc_id, self.pick_index, self.node, outcome, duration_ms, answer))
 
 
 class WriteDeadline(Expirable):
-    """The alarm of when a query's time for being written is over."""
+    """Expires when a query must have been written."""
 
-    def __init__(self, flight: InFlightQuery) -> None:
-        self.flight = flight
+    def __init__(self, query: InFlightQuery) -> None:
+        self.query = query
 
     def expire(self) -> None:
-        self.flight.cancel_if_partly_written()
+        """End the query if it is only partly written."""
+        self.query.cancel_if_partly_written()
