--- a/tests/mutation_services.py
+++ b/tests/mutation_services.py
@@ -11,7 +11,7 @@
 from brookreach import interface as ifc
 from brookreach.net import pgwire
 from brookreach.net.backoff import Backoff
-from brookreach.net.discovery import NODE_STATES
+from brookreach.net.discovery_entries import NODE_STATES
 from brookreach.net.platform import ROLLOUT_PHASES
 from brookreach.net.stream import parse_address
 from brookreach.simulation.stand_ins import GONE, request
--- a/tests/test_mutation_net.py
+++ b/tests/test_mutation_net.py
@@ -7,7 +7,8 @@
 import unittest
 
 from brookreach import interface as ifc
-from brookreach.net.discovery import JSON_ERRORS, DiscoveryClient
+from brookreach.net.discovery import DiscoveryClient
+from brookreach.net.discovery_entries import JSON_ERRORS
 from brookreach.net.limits import limits_from
 from brookreach.net.platform import PlatformClient, rollout_status_from
 
--- a/tests/test_net_fuzz.py
+++ b/tests/test_net_fuzz.py
@@ -8,7 +8,7 @@
 import anyio
 
 from brookreach.net import pgwire
-from brookreach.net.discovery import JSON_ERRORS
+from brookreach.net.discovery_entries import JSON_ERRORS
 
 from .helpers import NEWS, REPLIES, TraceCase, played, until
 
