--- a/brookreach/net/discovery.py
+++ b/brookreach/net/discovery.py
@@ -19,7 +19,7 @@
 
 from brookreach import interface as ifc
 from brookreach.net.backoff import Backoff
-from brookreach.net.discovery_entries import JSON_ERRORS, field_readers, read_member
+from brookreach.net.discovery_entries import JSON_ERRORS, field_readers, read_ids, read_member
 from brookreach.net.endpoint import ListedNode
 from brookreach.net.http import CONNECTION_ERRORS, HttpConnection, NotHttp
 from brookreach.net.limits import Limits
@@ -92,11 +92,7 @@
         version = int(listing["revision"])
         if not isinstance(is_complete, bool):
             raise ValueError("complete is no boolean")
-        ids = [member["id"] for member in listing["members"]]
-        if any(not isinstance(node_id, str) for node_id in ids):
-            raise ValueError("an id is no text")
-        if len(set(ids)) < len(ids):
-            raise ValueError("members: one id twice")
+        ids = read_ids(listing["members"])
         numbers = {} if is_complete else dict(self.node_numbers)
         last_number = self.last_number
         listed = []
--- a/brookreach/net/discovery_entries.py
+++ b/brookreach/net/discovery_entries.py
@@ -34,6 +34,20 @@
     }
 
 
+def read_ids(members: list[Mapping[str, Any]]) -> list[str]:
+    """Return the ids of a list's members in their order.
+
+    Raises:
+        ValueError: An id is no text, or is there twice; other errors are those of `JSON_ERRORS`.
+    """
+    ids = [member["id"] for member in members]
+    if any(not isinstance(node_id, str) for node_id in ids):
+        raise ValueError("an id is no text")
+    if len(set(ids)) < len(ids):
+        raise ValueError("members: one id twice")
+    return ids
+
+
 def read_member(readers: FieldReaders, number: int, member: Mapping[str, Any], is_drained: bool) -> ListedNode:
     """Read one member of a list as the node with this number; if `is_drained`, as draining where it is listed as ready.
 
--- a/brookreach/net/runtime.py
+++ b/brookreach/net/runtime.py
@@ -20,7 +20,8 @@
 from brookreach.configuration import StartupError, read_address, read_configuration, read_seed
 from brookreach.net.background_service import BackgroundService
 from brookreach.net.clients import Clients
-from brookreach.net.discovery import JSON_ERRORS, DiscoveryClient
+from brookreach.net.discovery import DiscoveryClient
+from brookreach.net.discovery_entries import JSON_ERRORS
 from brookreach.net.drain import Drain
 from brookreach.net.driver import Clock, Driver
 from brookreach.net.limits import Limits, limits_from
