--- a/brookreach/net/node_connection.py
+++ b/brookreach/net/node_connection.py
@@ -55,7 +55,7 @@
         self.barrier_replies: BarrierReplies | None = None  # to the barrier behind its query, if not its first
 
     def is_written(self) -> bool:
-        """Whether the kernel has taken the last byte of the query; its barrier has no effect."""
+        """Whether the kernel has taken the last byte of the query; its barrier has no effect and may be unwritten."""
         if self.state < AWAITING_ANSWER:
             return False
         barrier_bytes = len(self.barrier_replies.barrier.queries) if self.barrier_replies is not None else 0
@@ -78,7 +78,7 @@
         """Handle the messages that have arrived."""
         try:
             while not self.closed and len(self.inbound):
-                # A single byte is enough: what follows it would be read as the next pick's answer.
+                # Even a single byte counts: what follows it would be read as the next pick's answer.
                 if self.state == IDLE:
                     self._raise_unsolicited()
                 message = self.inbound.next_message()
