--- a/brookreach/net/runtime.py
+++ b/brookreach/net/runtime.py
@@ -21,7 +21,8 @@
 from brookreach.net.background_service import BackgroundService
 from brookreach.net.clients import Clients
 from brookreach.net.clock import Clock
-from brookreach.net.discovery import JSON_ERRORS, DiscoveryClient
+from brookreach.net.discovery import DiscoveryClient
+from brookreach.net.discovery_entries import JSON_ERRORS
 from brookreach.net.drain import Drain
 from brookreach.net.driver import Driver
 from brookreach.net.limits import Limits, limits_from
