--- a/brookreach/policy/baseline_outcomes.py
+++ b/brookreach/policy/baseline_outcomes.py
@@ -10,7 +10,10 @@
 
 A late answer is a failure and no error.
 """
-ENDED_MS: Final = 1  # index into a `BaselineOutcome`
+ENDED_MS: Final = 1  # indices into a `BaselineOutcome`: unpacking would convert all of its fields in the compiled form
+LOG_DURATION: Final = 2
+IS_ERROR: Final = 3
+IS_FAILURE: Final = 4
 
 
 class BaselineOutcomes:
@@ -34,7 +37,7 @@
         """Returns the share of errors, or 0 while there are too few outcomes to tell."""
         if len(self.outcomes) < self.min_outcomes:
             return 0.0
-        return sum([is_error for _, _, _, is_error, _ in self.outcomes]) / len(self.outcomes)
+        return sum([outcome[IS_ERROR] for outcome in self.outcomes]) / len(self.outcomes)
 
     def recent(self, now: float) -> list[BaselineOutcome]:
         """Returns the newest outcomes, newest first: those of the same seconds as the candidate's."""
--- a/brookreach/policy/canary_charts.py
+++ b/brookreach/policy/canary_charts.py
@@ -14,7 +14,7 @@
     RolloutStatus,
 )
 from brookreach.policy.actor import Actor, WorkQueue
-from brookreach.policy.baseline_outcomes import ENDED_MS, BaselineOutcome, BaselineOutcomes
+from brookreach.policy.baseline_outcomes import ENDED_MS, IS_FAILURE, LOG_DURATION, BaselineOutcome, BaselineOutcomes
 from brookreach.policy.common import NEVER_EXECUTED, ROLLBACK_PHASES, WARM_UP_MS, is_low_traffic, slow_start_factor
 from brookreach.policy.cusum import (
     ALL_METHODS,
@@ -109,7 +109,7 @@
         is_comparable = len(recent) >= MIN_BASELINE_OUTCOMES
         weight = 0.0
         score = 0.0
-        baseline_durations = sorted([log_ms for _, _, log_ms, _, _ in recent])
+        baseline_durations = sorted([one[LOG_DURATION] for one in recent])
         if is_comparable and outcome == Outcome.OK:  # a pick without an answer has no duration to compare
             score = rank_score(log_duration, baseline_durations)
             weight = self.node_correlation.weigh(now, entry.node, score, entry.build < status.build)
@@ -128,7 +128,7 @@
         if not is_late or is_comparable:
             baseline_rate = max(MIN_BASELINE_RATE, baseline.error_rate())
             if is_late:  # one failure more than was seen, as a rate from few outcomes is uncertain
-                failures = sum([failed for _, _, _, _, failed in recent])
+                failures = sum([one[IS_FAILURE] for one in recent])
                 baseline_rate = max(baseline_rate, (failures + 1.0) / (len(recent) + 1.0))
             for stream_method, increase in (
                 (method, FAILURE_RATE_INCREASE),
