--- a/brookreach/policy/outcome_counts.py
+++ b/brookreach/policy/outcome_counts.py
@@ -37,9 +37,9 @@
         received_ms: When the last report came.
         lag_ms: How old that report was by then.
         baseline: By method: outcomes, failures, the answers' durations together (ms), when last reported (ms).
-        before_rollout: By method: answers and their durations together (ms), before the candidate gets RPCs.
+        reference: By method: answers and their durations together (ms), outside a rollout and in its first stage.
         load: Picks counted in the last full period, by unit of the nodes' capacity.
-        typical_load: The same, averaged over periods before the candidate gets RPCs.
+        typical_load: The same, averaged over periods outside a rollout and in its first stage.
         period_count: Picks counted in the current period.
         load_increased: Whether the last report began a period behind one of higher load, which explains longer
             durations.
@@ -51,7 +51,7 @@
         self.received_ms = -math.inf
         self.lag_ms = 0.0
         self.baseline = dict[int, list[float]]()
-        self.before_rollout = dict[int, tuple[float, float]]()
+        self.reference = dict[int, tuple[float, float]]()
         self.load = 0.0
         self.typical_load = 0.0
         self.period_count = 0
@@ -127,22 +127,22 @@
         thresholds: Thresholds,
         has_baseline_nodes: bool,
     ) -> list[ChartStep]:
-        """Compares baseline nodes with themselves before the rollout, as a candidate may slow them down too.
+        """Compares baseline nodes with their own reference periods, as a candidate may slow them down too.
 
         They are compared under no more load only.
         """
         answers = counts.count - counts.failed
-        earlier_answers, total_ms = self.before_rollout.get(counts.method, (0.0, 0.0))
-        is_before_rollout = status.phase != RolloutPhase.ON_TRIAL or status.stage == 0
+        reference_answers, total_ms = self.reference.get(counts.method, (0.0, 0.0))
+        is_reference_period = status.phase != RolloutPhase.ON_TRIAL or status.stage == 0
         self.load_increased = False
         # The first report of a period; the order of the others in it tells nothing.
         if now > self.received_ms + 0.5 * self.report_interval_ms:
             capacity = sum([node.size * slow_start_factor(node, now, self.safety_limits) for node in ready_nodes])
-            self._begin_period(capacity, is_before_rollout)
+            self._begin_period(capacity, is_reference_period)
         self.period_count += counts.count
-        if is_before_rollout:
-            self.before_rollout[counts.method] = (
-                DECAY * earlier_answers + answers,
+        if is_reference_period:
+            self.reference[counts.method] = (
+                DECAY * reference_answers + answers,
                 DECAY * total_ms + counts.mean_ms * answers,
             )
         elif (
@@ -151,15 +151,15 @@
             and counts.build < status.build
             and self.load < LOAD_INCREASE_RATIO * self.typical_load
         ):
-            size = mean_duration_step(counts, earlier_answers, total_ms, BURDEN_LOG_RATIO)
+            size = mean_duration_step(counts, reference_answers, total_ms, BURDEN_LOG_RATIO)
             # One chart over all methods: it is the nodes that are slowed down, whatever the method.
             return [ChartStep(ALL_METHODS, "burden", thresholds.limit_counts_step(ALL_METHODS, size), 0.0)]
         return []
 
-    def _begin_period(self, capacity: float, is_before_rollout: bool) -> None:
+    def _begin_period(self, capacity: float, is_reference_period: bool) -> None:
         """Closes the period before: its load explains longer durations where it is over the typical one."""
         self.load = self.period_count / max(1.0, capacity)
         self.period_count = 0
-        if is_before_rollout:
+        if is_reference_period:
             self.typical_load = DECAY * ((self.typical_load or self.load) + self.load)
         self.load_increased = self.load > LOAD_INCREASE_RATIO * self.typical_load
