--- a/brookreach/verdict/notes.py
+++ b/brookreach/verdict/notes.py
@@ -1,4 +1,4 @@
-"""The records of a wave and the file of them: what one marshal's judge heard of each build, in order.
+"""The records of a wave and the file of them: what one balancer's canary analysis received of each build, in order.
 
 `decode` reads with limits and names what is wrong. It must never decide anything nor open a file.
 """
@@ -18,8 +18,10 @@
 
 
 class Note(msgspec.Struct, frozen=True, array_like=True):
-    """One thing that the judge heard. `what`: L list, N news, R reply, T tally, O outcome, D decide, V vote,
-    C crossed.
+    """One message that the canary analysis received, or what came of it.
+
+    `what` is L: list of nodes, N: rollout status, R: reply to a vote, T: outcome counts, O: outcome of a pick,
+    D: periodic evaluation, V: vote, C: a chart has crossed its threshold.
 
     `node` is an index into the record's entries for O; `method`, `sent`, `ending`, `took`, `unit`, `flow`
     are those of `CanaryAnalysis.record_outcome`.
@@ -40,7 +42,7 @@
 
 
 class Wave(msgspec.Struct):
-    """All that one marshal's judge heard around one build."""
+    """All that one balancer's canary analysis received around one build."""
 
     name: str
     build: int
--- a/brookreach/verdict/plan.py
+++ b/brookreach/verdict/plan.py
@@ -25,19 +25,19 @@
 WORKS = (1.2, 1.3, 1.4, 1.5, 1.6, 1.8, 2.0, 2.5, 3.0, 4.0)
 
 
-def judge_of(start: ifc.BalancerSettings, seen: Seen) -> CanaryAnalysis:
-    """The judge whose thresholds the wave will have."""
-    judge = CanaryAnalysis(deque(), [], start)
-    judge.set_thresholds(seen.rpcs_per_s)
-    return judge
+def analysis_of(start: ifc.BalancerSettings, seen: Seen) -> CanaryAnalysis:
+    """Returns an analysis with the thresholds that the wave will have."""
+    analysis = CanaryAnalysis(deque(), [], start)
+    analysis.set_thresholds(seen.rpcs_per_s)
+    return analysis
 
 
-def failing_threshold(judge: CanaryAnalysis, seen: Seen) -> float:
+def failing_threshold(analysis: CanaryAnalysis, seen: Seen) -> float:
     """Of the failures charts: they climb from a failure only, so they stand lower by the rate of failures."""
-    return judge.thresholds.local + math.log(max([MIN_BASELINE_RATE, *seen.failures]))
+    return analysis.thresholds.local + math.log(max([MIN_BASELINE_RATE, *seen.failures]))
 
 
-def stages_of(start: ifc.BalancerSettings, judge: CanaryAnalysis, seen: Seen) -> tuple[Stage, ...]:
+def stages_of(start: ifc.BalancerSettings, analysis: CanaryAnalysis, seen: Seen) -> tuple[Stage, ...]:
     """Stages of a build that earns no trust, so that each wait ends by its price.
 
     Where trust speaks strongly against a build the wait is doubled; nothing is promised from that.
@@ -47,7 +47,7 @@
         opens = shares[min(at + 1, len(shares) - 1)]
         least = BOOT_MS + WARM_UP_MS
         last = at + 1 == len(shares)
-        most = least + (1000.0 if last else judge.thresholds.promotion_wait_ms * opens)
+        most = least + (1000.0 if last else analysis.thresholds.promotion_wait_ms * opens)
         cap = start.exposure.caps[min(at, len(start.exposure.caps) - 1)] if start.exposure.caps else share
         gets = min(share, cap)
         # While the stage's machines start, the share of the stage before goes on.
@@ -70,17 +70,17 @@
     return 1.0 - (1.0 - float(curve[-1])) * math.exp(-rate * (count - played))
 
 
-def false_alarm(start: ifc.BalancerSettings, judge: CanaryAnalysis, seen: Seen, outcomes: float) -> float:
+def false_alarm(start: ifc.BalancerSettings, analysis: CanaryAnalysis, seen: Seen, outcomes: float) -> float:
     """Of a whole wave of a build that is like the last, over all marshals, methods and charts."""
     kept = 1.0
     overall = math.fsum(share * rate for share, rate in zip(seen.shares, seen.failures, strict=True))
     streams = [(share, rate, FAILURE_RATE_INCREASE) for share, rate in zip(seen.shares, seen.failures, strict=True)]
-    streams.append((1.0, overall, judge.thresholds.overall_rate_increase))
-    weight, failing = (1.0 - seen.alike) ** 2, failing_threshold(judge, seen)
+    streams.append((1.0, overall, analysis.thresholds.overall_rate_increase))
+    weight, failing = (1.0 - seen.alike) ** 2, failing_threshold(analysis, seen)
     for share, rate, rise in streams:
         own = outcomes * share
         kept *= 1.0 - _crossed(failure_steps(rate, max(MIN_BASELINE_RATE, rate), rise), failing, own)
-        kept *= 1.0 - _crossed(speed_steps(1.0, seen.spread, weight), judge.thresholds.local, own)
+        kept *= 1.0 - _crossed(speed_steps(1.0, seen.spread, weight), analysis.thresholds.local, own)
     return 1.0 - kept**start.place.marshals
 
 
@@ -93,13 +93,13 @@
 
 
 def effect_of(
-    start: ifc.BalancerSettings, judge: CanaryAnalysis, seen: Seen, outcomes: float, what: str, size: float
+    start: ifc.BalancerSettings, analysis: CanaryAnalysis, seen: Seen, outcomes: float, what: str, size: float
 ) -> Effect:
     """`what` is "all", a method's name, or "work"; `size` more failures, or so many times the work."""
     names = [method.name for method in start.methods]
     overall = math.fsum(s * r for s, r in zip(seen.shares, seen.failures, strict=True))
     charts: list[tuple[list[tuple[float, float]], float]] = []  # steps, outcomes of one marshal
-    limit = judge.thresholds.local if what == "work" else failing_threshold(judge, seen)
+    limit = analysis.thresholds.local if what == "work" else failing_threshold(analysis, seen)
     if what == "work":
         steps = speed_steps(size, seen.spread, (1.0 - seen.alike) ** 2)
         charts.append((steps, outcomes))
@@ -109,7 +109,7 @@
         charts.append(
             (
                 failure_steps(
-                    min(1.0, overall + size), max(MIN_BASELINE_RATE, overall), judge.thresholds.overall_rate_increase
+                    min(1.0, overall + size), max(MIN_BASELINE_RATE, overall), analysis.thresholds.overall_rate_increase
                 ),
                 outcomes,
             )
@@ -126,7 +126,7 @@
         )
         mixed = min(1.0, overall + share * size)
         charts.append(
-            (failure_steps(mixed, max(MIN_BASELINE_RATE, overall), judge.thresholds.overall_rate_increase), outcomes)
+            (failure_steps(mixed, max(MIN_BASELINE_RATE, overall), analysis.thresholds.overall_rate_increase), outcomes)
         )
         bound = _bound(size, max(MIN_BASELINE_RATE, rate), limit) / max(1e-9, share)
     alarm = max(_crossed(steps, limit, own) for steps, own in charts)
@@ -140,11 +140,11 @@
 
 
 def least_of(
-    start: ifc.BalancerSettings, judge: CanaryAnalysis, seen: Seen, outcomes: float, what: str
+    start: ifc.BalancerSettings, analysis: CanaryAnalysis, seen: Seen, outcomes: float, what: str
 ) -> float | None:
     """The least size of an effect that the wave tells apart at the stated miss; None where it tells none."""
     for size in WORKS if what == "work" else RISES:
-        if effect_of(start, judge, seen, outcomes, what, size).seen:
+        if effect_of(start, analysis, seen, outcomes, what, size).seen:
             return size
     return None
 
@@ -152,8 +152,8 @@
 def make(start: ifc.BalancerSettings, seen: Seen, effects: Sequence[tuple[str, float]] = ()) -> Plan:
     """The plan of a wave. Raises PlanError for facts that no wave can have."""
     check(start, seen)
-    judge = judge_of(start, seen)
-    stages = stages_of(start, judge, seen)
+    analysis = analysis_of(start, seen)
+    stages = stages_of(start, analysis, seen)
     outcomes = math.fsum(stage.outcomes for stage in stages)
     names = [method.name for method in start.methods]
     known = [*names, "all", "work"]
@@ -161,34 +161,34 @@
         if what not in known:
             raise PlanError(f"effect {what!r}: one of {', '.join(known)} is allowed")
         check_number(f"effect {what}", size, 0.0, 100.0 if what == "work" else 1.0, True)
-    least = {what: least_of(start, judge, seen, outcomes, what) for what in known}
+    least = {what: least_of(start, analysis, seen, outcomes, what) for what in known}
     wanted = list(effects) or [("all", 0.08), ("all", 0.20), *((name, 0.15) for name in names), ("work", 1.6)]
-    rows = tuple(effect_of(start, judge, seen, outcomes, what, size) for what, size in wanted)
-    alarm = false_alarm(start, judge, seen, outcomes)
+    rows = tuple(effect_of(start, analysis, seen, outcomes, what, size) for what, size in wanted)
+    alarm = false_alarm(start, analysis, seen, outcomes)
     charts = 2 * (len(names) + 1)
     # Wald's bound: a chance of exp(-threshold) a climb, over all charts and marshals. A failures chart's
     # climbs begin with a failure, a speed chart's with any outcome.
-    bound = min(1.0, charts * outcomes * start.place.marshals * math.exp(-judge.thresholds.local))
+    bound = min(1.0, charts * outcomes * start.place.marshals * math.exp(-analysis.thresholds.local))
     return Plan(
         start.stated,
         start.place.marshals,
-        judge.thresholds.local,
-        failing_threshold(judge, seen),
-        judge.thresholds.fleet,
-        judge.thresholds.overall_rate_increase,
-        judge.thresholds.promotion_confidence,
+        analysis.thresholds.local,
+        failing_threshold(analysis, seen),
+        analysis.thresholds.fleet,
+        analysis.thresholds.overall_rate_increase,
+        analysis.thresholds.promotion_confidence,
         stages,
         alarm,
         bound,
         rows,
         least,
-        tuple(_limits(start, judge, seen, rows, alarm, outcomes)),
+        tuple(_limits(start, analysis, seen, rows, alarm, outcomes)),
     )
 
 
 def _limits(
     start: ifc.BalancerSettings,
-    judge: CanaryAnalysis,
+    analysis: CanaryAnalysis,
     seen: Seen,
     rows: Sequence[Effect],
     alarm: float,
@@ -211,7 +211,7 @@
             else "no time would at these rises: it lies below what the charts look for"
         )
         out.append(f"{row.what} {row.size:g} can't be told apart: released in {row.miss:.2f} of waves, {how}")
-    if judge.low_traffic:
+    if analysis.low_traffic:
         out.append(
             "this marshal sees few: its own charts are backed by the platform's tallies, which this plan leaves out"
         )
--- a/brookreach/verdict/record.py
+++ b/brookreach/verdict/record.py
@@ -1,8 +1,8 @@
-"""What one marshal's judge heard of each build, kept in a bounded ring.
+"""What one balancer's canary analysis received of each build, kept in a bounded ring.
 
-A `Recorder` hears the events and actions at a marshal's boundary and derives from them the notes that its
-judge got. It decides nothing and owns no file or clock. A record is self-contained: facts, notes in order,
-what was voted. So it can be judged again under other stated rates (`brookreach.verdict.replay`).
+A `Recorder` receives the events and actions at a balancer's boundary and derives from them the messages that its
+canary analysis got. It decides nothing and owns no file or clock. A record is self-contained: settings, messages in
+order, votes. So it can be evaluated again under other stated rates (`brookreach.verdict.replay`).
 """
 
 from __future__ import annotations
--- a/brookreach/verdict/replay.py
+++ b/brookreach/verdict/replay.py
@@ -1,6 +1,6 @@
 """Judges a record of a wave again, under its own stated rates or others, and shows what was found.
 
-It must never change a record, nor judge by another rule than the marshal's own judge.
+It must never change a record, nor apply another rule than the balancer's own canary analysis.
 """
 
 from __future__ import annotations
@@ -55,20 +55,20 @@
     nodes: dict[int, Side]
 
 
-def _play(judge: CanaryAnalysis, wave: Wave, note: Note, entry: ifc.NodeEntry | None) -> None:
+def _play(analysis: CanaryAnalysis, wave: Wave, note: Note, entry: ifc.NodeEntry | None) -> None:
     match note.what:
         case "L":
-            judge.update_nodes([wave.entries[index] for index in note.nodes])
+            analysis.update_nodes([wave.entries[index] for index in note.nodes])
         case "N" if note.news is not None:
-            judge.update_rollout(note.now, note.news)
+            analysis.update_rollout(note.now, note.news)
         case "R":
-            judge.handle_vote_reply(note.now, ifc.Outcome(note.ending))
+            analysis.handle_vote_reply(note.now, ifc.Outcome(note.ending))
         case "T" if note.tally is not None:
-            judge.record_counts(note.now, note.tally)
+            analysis.record_counts(note.now, note.tally)
         case "D":
-            judge.evaluate(note.now)
-        case "O" if entry is not None and judge.baselines:
-            judge.record_outcome(
+            analysis.evaluate(note.now)
+        case "O" if entry is not None and analysis.baselines:
+            analysis.record_outcome(
                 note.now,
                 entry,
                 note.method,
@@ -89,18 +89,18 @@
     """Judge a record again, under its own stated rates or others. News stay as they came."""
     start = replace(wave.start, stated=stated) if stated else wave.start
     acts: list[ifc.Action] = []
-    judge = CanaryAnalysis(deque(), acts, start)
+    analysis = CanaryAnalysis(deque(), acts, start)
     offered = next((note.now for note in wave.notes if note.news and note.news.build == wave.build), 0.0)
     found = Verdict(wave.build, wave.name, offered, [], "", None, 0.0, {}, {}, {}, {}, {})
     names = [method.name for method in start.methods]
     for note in wave.notes:
         entry = wave.entries[note.nodes[0]] if note.what == "O" else None
-        old = {key: chart.level for key, chart in judge.charts.items()}
-        _play(judge, wave, note, entry)
+        old = {key: chart.level for key, chart in analysis.charts.items()}
+        _play(analysis, wave, note, entry)
         if entry is not None and note.ending not in NEVER_EXECUTED:
             _count(found, wave, note, entry, names[note.method], start)
-        if judge.status is not None and judge.status.build == wave.build:
-            for key, chart in judge.charts.items():
+        if analysis.status is not None and analysis.status.build == wave.build:
+            for key, chart in analysis.charts.items():
                 if chart.level != old.get(key):
                     levels = found.levels.setdefault(chart_name(wave, key), [])
                     levels.append(Point(note.now - offered, chart.level))
@@ -110,8 +110,8 @@
             elif isinstance(act, ifc.LogLine) and act.text.startswith(f"back {wave.build}:") and not found.crossed:
                 found.crossed, found.crossed_ms = act.text, note.now - offered
         acts.clear()
-    found.threshold = judge.thresholds.local
-    found.trust = {chart_name(wave, key): chart.cumulative_sum for key, chart in judge.charts.items()}
+    found.threshold = analysis.thresholds.local
+    found.trust = {chart_name(wave, key): chart.cumulative_sum for key, chart in analysis.charts.items()}
     return found
 
 
