--- a/brookreach/net/__init__.py
+++ b/brookreach/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real marshal's network side: sockets, messages, the one task that owns the module. It never decides."""
+"""The network side of a balancer: sockets, messages, and the task that runs the balancer. It decides nothing."""
--- a/brookreach/net/client.py
+++ b/brookreach/net/client.py
@@ -102,7 +102,7 @@
 
     def _handle_message(self, tag: bytes, body: memoryview) -> None:
         if tag == b"Q":
-            self._query(body)
+            self._handle_query(body)
         elif tag == b"X":
             self.close_after_answers("terminated")
         elif tag == b"S":
@@ -116,7 +116,7 @@
             self.skipping = True
             self._answer_in_order(pgwire.error_response(b"0A000", "simple queries only", ready=False))
 
-    def _query(self, body: memoryview) -> None:
+    def _handle_query(self, body: memoryview) -> None:
         text = body[:-1] if len(body) and body[-1] == 0 else body
         response = harmless_response(text)
         if response is not None:
@@ -135,7 +135,7 @@
             self.invalid_statements += 1
             if self.invalid_statements >= self.clients.limits.max_invalid_statements:
                 raise pgwire.ProtocolViolationError("statements that can't be taken") from None
-            self._answer_in_order(pgwire.error_response(error.state, str(error)))
+            self._answer_in_order(pgwire.error_response(error.sqlstate, str(error)))
             return
         self.clients.mark_busy(self)
         self.answers.add(answer)
--- a/brookreach/net/clients.py
+++ b/brookreach/net/clients.py
@@ -137,7 +137,7 @@
             if row is self.silent and self.refusals.is_full():
                 continue  # connections that are being refused must not be cut short
             for client in list(islice(row, self.limits.messages_per_turn)):
-                is_asking = client.answers or client.unsent or row is self.idle and len(client.inbound)
+                is_asking = client.answers or client.unsent or (row is self.idle and len(client.inbound))
                 if not is_asking and client.is_quiet():
                     if row is self.silent:  # its first query may be on its way, and must be answered
                         self.refusals.refuse(
--- a/brookreach/net/pgwire.py
+++ b/brookreach/net/pgwire.py
@@ -160,26 +160,26 @@
     return encode_message(b"Q", *parts, b"\0")
 
 
-def error_response(state: bytes, text: str, detail: str = "", ready: bool = True) -> bytes:
+def error_response(sqlstate: bytes, text: str, detail: str = "", ready: bool = True) -> bytes:
     """Return an error after which the connection goes on.
 
     With `ready`, ReadyForQuery follows; without it, in the extended protocol, messages are skipped until Sync.
     """
-    return b"".join(_error_message(b"ERROR", state, text, detail)) + (READY_FOR_QUERY if ready else b"")
+    return b"".join(_error_message(b"ERROR", sqlstate, text, detail)) + (READY_FOR_QUERY if ready else b"")
 
 
-def fatal_response(state: bytes, text: str, ready: bool) -> bytes:
+def fatal_response(sqlstate: bytes, text: str, ready: bool) -> bytes:
     """Return an error that ends its connection.
 
     By the protocol it is complete without ReadyForQuery, and in place of the startup response nothing may follow it.
     On a connection that had its startup response a query may be on its way, and common clients drop the code of the
     answer to it unless ReadyForQuery follows.
     """
-    return b"".join(_error_message(b"FATAL", state, text, "")) + (READY_FOR_QUERY if ready else b"")
+    return b"".join(_error_message(b"FATAL", sqlstate, text, "")) + (READY_FOR_QUERY if ready else b"")
 
 
-def _error_message(severity: bytes, state: bytes, text: str, detail: str) -> list[bytes]:
-    fields = [b"S", severity, b"\0V", severity, b"\0C", state, b"\0M", text.encode(), b"\0"]
+def _error_message(severity: bytes, sqlstate: bytes, text: str, detail: str) -> list[bytes]:
+    fields = [b"S", severity, b"\0V", severity, b"\0C", sqlstate, b"\0M", text.encode(), b"\0"]
     if detail:
         fields += [b"D", detail.encode(), b"\0"]
     return encode_message(b"E", *fields, b"\0")
--- a/brookreach/net/refusals.py
+++ b/brookreach/net/refusals.py
@@ -84,7 +84,7 @@
     def _room(self) -> int:
         return max(1, self.limits.min_refusals + max(0, self.available_links()) // 2)
 
-    def refuse(self, sock: socket.socket, state: bytes, text: str, is_welcomed: bool = False) -> None:
+    def refuse(self, sock: socket.socket, sqlstate: bytes, text: str, is_welcomed: bool = False) -> None:
         """Answer with a fatal error that says that a retry is harmless, then end our side; a close is no answer.
 
         `is_welcomed` tells that the connection has had its startup response.
@@ -94,7 +94,7 @@
         refused = RefusedConnection(self, sock)
         self.open[refused] = time.monotonic()
         try:
-            refused.send_refusal(pgwire.fatal_response(state, text, ready=is_welcomed))
+            refused.send_refusal(pgwire.fatal_response(sqlstate, text, ready=is_welcomed))
         except OSError:  # the client has gone
             refused.end()
 
--- a/brookreach/net/statement.py
+++ b/brookreach/net/statement.py
@@ -12,11 +12,11 @@
 
 
 class InvalidStatementError(Exception):
-    """A query that can't be taken; the connection is still in step. `state` is the SQLSTATE."""
+    """A query that can't be taken; the connection is still in step. `sqlstate` is the code of the error."""
 
-    def __init__(self, state: bytes, text: str):
+    def __init__(self, sqlstate: bytes, text: str):
         super().__init__(text)
-        self.state = state
+        self.sqlstate = sqlstate
 
 
 COMMENT_PATTERN = re.compile(rb"/\*([^*]*)\*/[\s;]*\Z")
