--- a/brookreach/net/client.py
+++ b/brookreach/net/client.py
@@ -123,11 +123,11 @@
             self._answer_in_order(response)
             return
         answer = PendingAnswer(self, size=len(text))
-        came_at = min(self.unread_since, self.poller.events_since)
+        arrived_at = min(self.unread_since, self.poller.events_since)
         try:
             statement = parse_statement(text, self.clients.limits.max_comment_bytes)
-            due = self.clients.drain.answer_due(came_at + statement.wait_ms / 1000.0)
-            answer.rpc_id = self.clients.receiver.receive(statement, answer, came_at)
+            due = self.clients.drain.answer_due(arrived_at + statement.wait_ms / 1000.0)
+            answer.rpc_id = self.clients.receiver.receive(statement, answer, arrived_at)
             if due > time.monotonic():  # else nothing is gained by ending the RPCs before it
                 answer.due = due
         except InvalidStatementError as error:
--- a/brookreach/net/driver.py
+++ b/brookreach/net/driver.py
@@ -60,10 +60,10 @@
         """Return how many connections to nodes may still be made."""
         return self.limits.max_links - self.nodes.connection_count
 
-    def receive(self, statement: Statement, answer: PendingAnswer, came_at: float) -> int:
+    def receive(self, statement: Statement, answer: PendingAnswer, arrived_at: float) -> int:
         """Hand an RPC to the balancer and return its id. Raises InvalidStatementError.
 
-        `came_at`, by the monotonic clock, is the earliest that its last byte may have arrived: the client has waited
+        `arrived_at`, by the monotonic clock, is the earliest that its last byte may have arrived: the client has waited
         since then.
         """
         method = self.methods.get(statement.method)
@@ -77,11 +77,11 @@
                 method,
                 tenant=0,
                 key=statement.key,
-                deadline_ms=self.clock.to_unix_ms(self.drain.answer_due(came_at + statement.wait_ms / 1000.0)),
+                deadline_ms=self.clock.to_unix_ms(self.drain.answer_due(arrived_at + statement.wait_ms / 1000.0)),
                 cost_ms=statement.cost_ms,
                 is_retry=statement.is_retry,
                 is_write=statement.is_write,
-                unread_ms=1000.0 * (self.poller.events_since - came_at),
+                unread_ms=1000.0 * (self.poller.events_since - arrived_at),
             )
         )
         return self.rpc_count
--- a/brookreach/net/rpc_receiver.py
+++ b/brookreach/net/rpc_receiver.py
@@ -12,7 +12,7 @@
 class RpcReceiver(Protocol):
     """What client connections need of the driver."""
 
-    def receive(self, statement: Statement, answer: PendingAnswer, came_at: float) -> int:
+    def receive(self, statement: Statement, answer: PendingAnswer, arrived_at: float) -> int:
         """Take an RPC and return its id; see `Driver.receive`."""
         ...
 
