--- a/brookreach/net/client.py
+++ b/brookreach/net/client.py
@@ -102,7 +102,7 @@
 
     def _handle_message(self, tag: bytes, body: memoryview) -> None:
         if tag == b"Q":
-            self._query(body)
+            self._handle_query(body)
         elif tag == b"X":
             self.close_after_answers("terminated")
         elif tag == b"S":
@@ -116,18 +116,18 @@
             self.skipping = True
             self._answer_in_order(pgwire.error_response(b"0A000", "simple queries only", ready=False))
 
-    def _query(self, body: memoryview) -> None:
+    def _handle_query(self, body: memoryview) -> None:
         text = body[:-1] if len(body) and body[-1] == 0 else body
         response = harmless_response(text)
         if response is not None:
             self._answer_in_order(response)
             return
         answer = PendingAnswer(self, size=len(text))
-        came_at = min(self.unread_since, self.poller.events_since)
+        arrived_at = min(self.unread_since, self.poller.events_since)
         try:
             statement = parse_statement(text, self.clients.limits.max_comment_bytes)
-            due = self.clients.drain.answer_due(came_at + statement.wait_ms / 1000.0)
-            answer.rpc_id = self.clients.receiver.receive(statement, answer, came_at)
+            due = self.clients.drain.answer_due(arrived_at + statement.wait_ms / 1000.0)
+            answer.rpc_id = self.clients.receiver.receive(statement, answer, arrived_at)
             if due > time.monotonic():  # else nothing is gained by ending the RPCs before it
                 answer.due = due
         except InvalidStatementError as error:
@@ -135,7 +135,7 @@
             self.invalid_statements += 1
             if self.invalid_statements >= self.clients.limits.max_invalid_statements:
                 raise pgwire.ProtocolViolationError("statements that can't be taken") from None
-            self._answer_in_order(pgwire.error_response(error.state, str(error)))
+            self._answer_in_order(pgwire.error_response(error.sqlstate, str(error)))
             return
         self.clients.mark_busy(self)
         self.answers.add(answer)
