--- a/tests/peers_front.py
+++ b/tests/peers_front.py
@@ -7,10 +7,10 @@
 from brookreach.net import pgwire
 from brookreach.net.clients import Clients
 
+from .driver_rig import DriverRig
 from .helpers import ONCE, RecordedLog, method
 from .node_messages import INSERTED, SELECTED, has_effect
 from .peers_clients import LIMITS, ClientSocket
-from .peers_nodes import DriverRig
 
 RELEASED = ifc.RolloutStatus(False, ifc.Outcome.OK, 2, 1.0, ifc.RolloutPhase.RELEASED, 0.0, 1)
 METHODS = (method(name="look"), method(ONCE, name="book"))
--- a/tests/test_cancelled_rpcs.py
+++ b/tests/test_cancelled_rpcs.py
@@ -12,9 +12,9 @@
 from brookreach import interface as ifc
 from brookreach.policy.timer_tokens import HEDGE_TIMER, TIMER_KINDS
 
+from .driver_rig import DriverRig
 from .helpers import IDEM, method
 from .node_messages import SELECTED
-from .peers_nodes import DriverRig
 
 RELEASED = ifc.RolloutStatus(True, ifc.Outcome.OK, 0, 1.0, ifc.RolloutPhase.RELEASED, 0.0, 1)
 SOFT_MS = 12_000.0  # a quarter of it passes before the hedged pick, so the first is sent by then on any machine
--- a/tests/test_endings_connections.py
+++ b/tests/test_endings_connections.py
@@ -9,9 +9,10 @@
 from brookreach import interface as ifc
 from brookreach.net.node_connection import AWAITING_ANSWER
 
+from .driver_rig import DriverRig, RecordingSlot
 from .helpers import ONCE, method
 from .node_messages import SELECTED, make_statement
-from .peers_nodes import ConnectionPoolRig, DriverRig, RecordingSlot
+from .peers_nodes import ConnectionPoolRig
 
 OK, MOOT, CANCELLED = ifc.Outcome.OK, ifc.Outcome.MOOT, ifc.Outcome.CANCELLED
 RELEASED = ifc.RolloutStatus(False, OK, 2, 1.0, ifc.RolloutPhase.RELEASED, 0.0, 1)
--- a/tests/test_endings_nodes.py
+++ b/tests/test_endings_nodes.py
@@ -8,9 +8,10 @@
 from brookreach.net import pgwire
 from brookreach.simulation.stand_ins import ROW
 
+from .driver_rig import DriverRig
 from .helpers import ONCE, method
 from .node_messages import FAILED, FULL, INSERTED, SELECTED
-from .peers_nodes import ConnectionPoolRig, DriverRig, FakeNode
+from .peers_nodes import ConnectionPoolRig, FakeNode
 from .test_endings_picks import RELEASED, accept_any
 
 OK, ERROR, PUSHED, TIMEOUT, NO_CONNECT, RESET, _, _ = ifc.Outcome
--- a/tests/test_endings_picks.py
+++ b/tests/test_endings_picks.py
@@ -11,9 +11,10 @@
 from brookreach.net.node_connection import AWAITING_ANSWER, IDLE
 from brookreach.simulation.stand_ins import ROW
 
+from .driver_rig import DriverRig
 from .helpers import ONCE, TOKEN, method
 from .node_messages import FULL, INSERTED, SELECTED, row
-from .peers_nodes import ConnectionPoolRig, DriverRig
+from .peers_nodes import ConnectionPoolRig
 
 RELEASED = ifc.RolloutStatus(False, ifc.Outcome.OK, 2, 1.0, ifc.RolloutPhase.RELEASED, 0.0, 1)
 
