--- a/brookreach/scale/marshal_lists.py
+++ b/brookreach/scale/marshal_lists.py
@@ -49,29 +49,29 @@
         self.bytes, self.members = len(json.dumps(told)), told["known"]["members"]
         self.version, self.rpcs = configured.VERSION, 0
         before = time.thread_time_ns()
-        self.parts = BalancerRuntime(told)
+        self.runtime = BalancerRuntime(told)
         self.start_ms = (time.thread_time_ns() - before) / NS_PER_MS
-        self.now = self.parts.driver.clock.now_ms()
+        self.now = self.runtime.driver.clock.now_ms()
         self.events()
 
     def events(self) -> None:
-        queue = self.parts.driver.queue
+        queue = self.runtime.driver.queue
         while queue:
             event = queue.popleft()
             assert not isinstance(event, PickResult)  # no pick was carried out
-            self.parts.driver.balancer.handle(self.now, event)
+            self.runtime.driver.balancer.handle(self.now, event)
 
     def take(self, complete: bool, members: list[dict[str, Any]]) -> ListCost:
         self.version += 1
         body = json.dumps({"revision": self.version, "complete": complete, "members": members}).encode()
-        read_ms = _spent_ms(lambda: self.parts.discovery.apply_listing(json.loads(body)))
+        read_ms = _spent_ms(lambda: self.runtime.discovery.apply_listing(json.loads(body)))
         decide_ms = _spent_ms(self.events)
         return ListCost(len(body), read_ms, decide_ms, _spent_ms(self.next_rpc))
 
     def next_rpc(self) -> None:
         self.rpcs += 1
         taken = ifc.RpcReceived(self.rpcs, 0, 0, 0, self.now + WAIT_MS, None, False, False)
-        self.parts.driver.balancer.handle(self.now, taken)
+        self.runtime.driver.balancer.handle(self.now, taken)
 
     def whole(self) -> ListCost:
         return _median([self.take(True, self.members) for _ in range(TIMES)])
@@ -86,7 +86,7 @@
     try:
         return ListCosts(size, lists.bytes, lists.start_ms, lists.whole(), lists.change())
     finally:
-        lists.parts.poller.close()
+        lists.runtime.poller.close()
 
 
 def _spent_ms(call: Callable[[], object]) -> float:
--- a/brookreach/xds/control_plane.py
+++ b/brookreach/xds/control_plane.py
@@ -43,7 +43,7 @@
     Attributes:
         path: The configuration file.
         configuration: The values in use.
-        parts: The balancer's.
+        runtime: The balancer's.
         cache: The snapshot and the proxies.
         ads: The streams.
         credentials_reloader: The credentials for TLS; None for plain text.
@@ -69,11 +69,11 @@
         self.configuration = configuration
         serve = configuration.serve
         balancer = read_json_object(str(path.parent / serve.balancer), f"{path}: serve.marshal")
-        self.parts = BalancerRuntime(balancer, lines)
+        self.runtime = BalancerRuntime(balancer, lines)
         zones = list(balancer["settings"]["zones"])
         instance_id = f"{time.time_ns():x}"  # unlike that of any earlier instance
         self.cache = SnapshotCache(
-            self.parts.driver.settings,
+            self.runtime.driver.settings,
             zones,
             instance_id,
             serve.merge_ms,
@@ -85,22 +85,22 @@
             self.log,
             configuration.permissions(),
             max_streams=serve.max_streams,
-            clock=self.parts.driver.clock.now_ms,
+            clock=self.runtime.driver.clock.now_ms,
         )
         self.credentials_reloader = self._make_credentials_reloader()
         self.addresses: dict[int, NodeAddress] = {}
         self.discovery_received = False
         self.port = 0
         # The list in the balancer's configuration has been read already: addresses come with discovery's first list.
-        self.parts.discovery.on_node_list = self._recording_addresses(self.parts.discovery.on_node_list)
+        self.runtime.discovery.on_node_list = self._recording_addresses(self.runtime.discovery.on_node_list)
         self.serving = anyio.Event()
 
     def log(self, text: str) -> None:
         """Write a line of log."""
-        self.parts.report.log("xds", text)
+        self.runtime.report.log("xds", text)
 
     def _log_tls(self, text: str) -> None:
-        self.parts.report.log("tls", text)
+        self.runtime.report.log("tls", text)
 
     def _make_credentials_reloader(self) -> CredentialsReloader | None:
         tls = self.configuration.tls
@@ -123,7 +123,7 @@
 
     def refresh_view(self) -> None:
         """Serve the balancer's present view, and forget the addresses of nodes that are no longer listed."""
-        driver = self.parts.driver
+        driver = self.runtime.driver
         if not self.discovery_received:
             return
         view = balancer_view(driver.balancer, driver.clock.now_ms())
@@ -140,14 +140,14 @@
         server, self.port = create_server(self.ads, self.configuration.serve.listen, self.credentials_reloader)
         self._restore()
         await server.start()
-        driver = self.parts.driver
+        driver = self.runtime.driver
         try:
             async with anyio.create_task_group() as tasks:
-                driver.vote = lambda vote: tasks.start_soon(self.parts.platform.vote, vote)
+                driver.vote = lambda vote: tasks.start_soon(self.runtime.platform.vote, vote)
                 for task in (
                     driver.run,
-                    self.parts.platform.follow,
-                    self.parts.discovery.follow,
+                    self.runtime.platform.follow,
+                    self.runtime.discovery.follow,
                     self.ads.publish,
                     self.watch_view,
                     self.reload_credentials,
@@ -165,7 +165,7 @@
         finally:
             with anyio.CancelScope(shield=True):
                 await server.stop(STOP_GRACE_S)
-            self.parts.poller.close()
+            self.runtime.poller.close()
 
     async def watch_view(self) -> None:
         """Refresh the view as often as configured, and at once after a list or a rollout's news, until cancelled."""
@@ -182,8 +182,8 @@
 
     def _versions(self) -> tuple[object, ...]:
         """Return what is served and stored at once when it changes; news that repeat themselves are no change."""
-        news = self.parts.driver.rollout_status
-        return self.parts.discovery.version, news and (news.build, news.stage, news.phase, news.cap)
+        news = self.runtime.driver.rollout_status
+        return self.runtime.discovery.version, news and (news.build, news.stage, news.phase, news.cap)
 
     async def reload_credentials(self) -> None:
         """Read the credentials' files when they change, and warn of their expiry, until cancelled."""
