--- a/brookreach/subsetting/__init__.py
+++ b/brookreach/subsetting/__init__.py
@@ -1,7 +1,7 @@
-"""Subsetting: which services a balancer holds, and of a large service which endpoints.
+"""Subsetting: which services each balancer holds, and which endpoints of a large service.
 
-The package owns the placement (a pure function of the agreed view of the fleet), the hold-down that views pass
-through, and the handover by which one balancer goes from one placement to the next. It never reads a clock, opens a
-socket or draws random numbers: times are handed in, and all processes with the same view come to the same placement.
-A balancer that `run` starts imports none of this.
+The package computes the placement (a pure function of the replicated view of the fleet), applies the hold-down to
+membership changes before they enter the view, and runs the handover by which a balancer moves from one placement to
+the next. It never reads a clock, opens a socket or draws random numbers: callers pass the time in, and all processes
+with the same view compute the same placement. A balancer started by `run` imports none of this package.
 """
--- a/brookreach/subsetting/demand.py
+++ b/brookreach/subsetting/demand.py
@@ -1,4 +1,4 @@
-"""How many balancers a service needs, and what it costs each of them."""
+"""How many balancers a service requires, and the load that it puts on each of them."""
 
 from __future__ import annotations
 
@@ -7,12 +7,16 @@
 from brookreach.subsetting.fleet_view import Service
 from brookreach.subsetting.settings import Caps, Settings
 
-HEADROOM_NUMERATOR = 5  # the balancers of a large service have capacity for 5/4 of the copies of its endpoints
+# The balancers of a large service together have capacity for 5/4 of the copies of its endpoints.
+HEADROOM_NUMERATOR = 5
 HEADROOM_DENOMINATOR = 4
 
 
 class Load(NamedTuple):
-    """What lies on one balancer, or what one service puts there. RPCs are in thousandths a second, rounded up."""
+    """The load on one balancer, or the load that one service adds to it.
+
+    `milli_rpcs` is in thousandths of an RPC per second, rounded up.
+    """
 
     services: int = 0
     nodes: int = 0
@@ -21,16 +25,16 @@
     milli_rpcs: int = 0
 
     def add(self, other: Load) -> Load:
-        """Returns the sum of both."""
+        """Returns the sum of both loads."""
         return Load(*(own + added for own, added in zip(self, other, strict=True)))
 
     def fits_within(self, limit: Load) -> bool:
-        """Returns whether no part exceeds the limit's."""
+        """Returns whether no field exceeds the same field of the limit."""
         return all(own <= allowed for own, allowed in zip(self, limit, strict=True))
 
 
 def capacity_limit(caps: Caps, weight: int) -> Load:
-    """Returns the most that a balancer of this weight may hold."""
+    """Returns the maximum load of a balancer of this weight."""
     return Load(
         caps.services * weight,
         caps.nodes * weight,
@@ -46,12 +50,12 @@
 
 
 def is_large(service: Service, settings: Settings) -> bool:
-    """Returns whether each balancer of the service holds a subset of its endpoints."""
+    """Returns whether each balancer of the service holds only a subset of its endpoints."""
     return service.nodes > settings.subset.nodes
 
 
 def required_balancers(service: Service, settings: Settings) -> int:
-    """Returns how many balancers the service should have, however many the fleet has."""
+    """Returns how many balancers the service requires, regardless of how many the fleet has."""
     for_rpcs = ceil_divide(service.rpcs, settings.spread.rpcs_per_balancer)
     count = max(settings.spread.balancers, for_rpcs)
     if not is_large(service, settings):
@@ -59,13 +63,13 @@
     subset = settings.subset
     copies = service.nodes * subset.holders
     with_headroom = ceil_divide(copies * HEADROOM_NUMERATOR, subset.nodes * HEADROOM_DENOMINATOR)
-    # The last endpoint still meets enough balancers that are not full.
+    # Ensures that the last endpoint to be assigned still finds enough balancers that are not full.
     for_last_endpoint = ceil_divide(copies, subset.nodes) + subset.holders
     return max(count, with_headroom, for_last_endpoint)
 
 
 def load_per_balancer(service: Service, settings: Settings) -> Load:
-    """Returns what one of the service's balancers has to bear."""
+    """Returns the load that the service puts on each of its balancers."""
     milli_rpcs = ceil_divide(service.rpcs * 1000, required_balancers(service, settings))
     nodes = min(service.nodes, settings.subset.nodes)
     return Load(1, nodes, service.routes, service.tenants, milli_rpcs)
--- a/brookreach/subsetting/effects.py
+++ b/brookreach/subsetting/effects.py
@@ -1,4 +1,4 @@
-"""What a handover asks its surroundings to do, and the messages between balancers when a service moves."""
+"""Effects that a handover returns for its caller to execute, and the messages between balancers during a handover."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class LoadService(msgspec.Struct, frozen=True):
-    """Watch the rows of this service; report `service_loaded` when they are complete."""
+    """Watch the rows of this service; call `service_loaded` when they are complete."""
 
     service: str
 
 
 class DrainService(msgspec.Struct, frozen=True):
-    """Accept no new RPC of this service and finish those in flight; report `service_idle` after the last."""
+    """Accept no new RPCs of this service and finish those in flight; call `service_idle` after the last one."""
 
     service: str
 
@@ -24,13 +24,13 @@
 
 
 class RequestFullView(msgspec.Struct, frozen=True):
-    """Changes after this version are missing: ask for the full view."""
+    """Request the full view, because changes after this version are missing."""
 
     version: int
 
 
 class HandoverQuery(msgspec.Struct, frozen=True):
-    """A balancer that is to release a service asks a holder whether it serves it at this version or a later one."""
+    """Asks a holder whether it serves the service at this version or a later one; sent before releasing the service."""
 
     sender: str
     to: str
@@ -39,7 +39,7 @@
 
 
 class HandoverAck(msgspec.Struct, frozen=True):
-    """The holder serves the service at this version, in this session. A holder that does not stays silent."""
+    """States that the holder serves the service at this version, in this session; a holder that does not sends none."""
 
     sender: str
     to: str
--- a/brookreach/subsetting/endpoint_subset.py
+++ b/brookreach/subsetting/endpoint_subset.py
@@ -1,9 +1,13 @@
-"""Which endpoints of a large service each of its balancers holds: a pure function of the two lists and the settings.
+"""Which endpoints of a large service each of its balancers holds.
 
-Each endpoint goes to `subset.holders` of the service's balancers, the best by rendezvous score that are not full
-(rendezvous hashing with bounded loads). A balancer is full at 5/4 of the mean, rounded up, with two exceptions: an
-endpoint that meets too few balancers that are not full goes to the emptiest, up to `subset.nodes`; and a balancer with
-fewer than `subset.zone_nodes` of a zone takes more of it, as long as none of them has over `subset.most_holders`.
+The result is a pure function of the balancers, the endpoints and the settings. Each endpoint is assigned to
+`subset.holders` of the service's balancers: those with the highest rendezvous scores that are not full (rendezvous
+hashing with bounded loads). A balancer is full at 5/4 of the mean, rounded up, with two exceptions:
+
+- An endpoint that finds too few balancers below that bound goes to the balancers with the fewest endpoints, each up to
+  `subset.nodes`.
+- A balancer with fewer than `subset.zone_nodes` endpoints of a zone gets more of that zone, as long as no endpoint
+  exceeds `subset.most_holders` holders.
 """
 
 from __future__ import annotations
@@ -19,7 +23,7 @@
 
 
 class Endpoint(msgspec.Struct, frozen=True):
-    """One endpoint of the service."""
+    """One endpoint of the service, and its failure domain."""
 
     name: str
     region: str
@@ -27,7 +31,7 @@
 
 
 class EndpointSubsets(msgspec.Struct, frozen=True):
-    """The names of endpoints by balancer, sorted, and endpoints with fewer balancers than `subset.holders`."""
+    """The endpoints of each balancer, and the endpoints with fewer holders than `subset.holders`; names are sorted."""
 
     endpoints_by_balancer: dict[str, tuple[str, ...]]
     under_replicated: tuple[str, ...]
@@ -36,7 +40,7 @@
 def assign_subsets(
     service: str, balancers: Sequence[str], endpoints: Sequence[Endpoint], settings: Subset
 ) -> EndpointSubsets:
-    """Returns the subsets; each balancer holds all endpoints where the service is not large."""
+    """Returns the subsets; if the service is not large, each balancer holds all of its endpoints."""
     if len(endpoints) <= settings.nodes:
         all_names = tuple(sorted(endpoint.name for endpoint in endpoints))
         under_replicated = all_names if len(balancers) < settings.holders else ()
@@ -48,6 +52,8 @@
 
 
 class _SubsetAssignment:
+    """An assignment in progress of one large service's endpoints to its balancers."""
+
     def __init__(self, service: str, balancers: Sequence[str], endpoints: Sequence[Endpoint], settings: Subset) -> None:
         self._settings = settings
         self._key = rendezvous.make_key("node", service)
@@ -57,19 +63,19 @@
         self._holders: dict[str, set[str]] = {endpoint.name: set() for endpoint in self._endpoints}
 
     def assign_copies(self) -> None:
-        """Gives each endpoint to its best balancers that are not full."""
-        full = self._full_size()
+        """Assigns each endpoint to its highest-ranked balancers that are not full."""
+        max_size = self._max_size()
         for endpoint in self._endpoints:
             ranking = rendezvous.rank(self._endpoint_key(endpoint), self._members)
             names = [name for _, name in ranking]
             for name in names:
-                if self._lacks_holders(endpoint) and len(self._endpoints_of[name]) < full:
+                if self._lacks_holders(endpoint) and len(self._endpoints_of[name]) < max_size:
                     self._assign(endpoint, name)
             if self._lacks_holders(endpoint):
-                self._assign_to_emptiest(endpoint, names)
+                self._assign_to_least_loaded(endpoint, names)
 
     def fill_zones(self) -> None:
-        """Gives each balancer the least number of endpoints of each zone, where the zone has them."""
+        """Assigns each balancer the minimum number of endpoints of each zone, as far as the zone has them."""
         zones: dict[Locality, list[Endpoint]] = {}
         for endpoint in self._endpoints:
             zones.setdefault(Locality(endpoint.region, endpoint.zone), []).append(endpoint)
@@ -78,14 +84,15 @@
                 self._fill_zone(name, zones[zone])
 
     def subsets(self) -> EndpointSubsets:
-        """Returns what was assigned."""
+        """Returns the assignment as subsets, with the under-replicated endpoints."""
         by_balancer = {name: tuple(sorted(self._endpoints_of[name])) for name in sorted(self._endpoints_of)}
         under_replicated = sorted(
             name for name, holders in self._holders.items() if len(holders) < self._settings.holders
         )
         return EndpointSubsets(by_balancer, tuple(under_replicated))
 
-    def _full_size(self) -> int:
+    def _max_size(self) -> int:
+        """Returns the number of endpoints at which a balancer is full."""
         copies = len(self._endpoints) * self._settings.holders
         balancers = max(1, len(self._endpoints_of))
         with_headroom = ceil_divide(copies * HEADROOM_NUMERATOR, balancers * HEADROOM_DENOMINATOR)
@@ -94,7 +101,7 @@
     def _lacks_holders(self, endpoint: Endpoint) -> bool:
         return len(self._holders[endpoint.name]) < self._settings.holders
 
-    def _assign_to_emptiest(self, endpoint: Endpoint, names: list[str]) -> None:
+    def _assign_to_least_loaded(self, endpoint: Endpoint, names: list[str]) -> None:
         for name in sorted(names, key=lambda name: len(self._endpoints_of[name])):
             if self._lacks_holders(endpoint) and len(self._endpoints_of[name]) < self._settings.nodes:
                 self._assign(endpoint, name)
@@ -112,7 +119,7 @@
                 self._assign(endpoint, name)
 
     def _fill_order(self, endpoint: Endpoint, name: str) -> tuple[int, int, str]:
-        """Endpoints with the fewest holders come first."""
+        """Returns the sort key for filling a zone: endpoints with the fewest holders come first."""
         score = rendezvous.score(self._endpoint_key(endpoint), name.encode(), 1)
         return len(self._holders[endpoint.name]), score, endpoint.name
 
