--- a/brookreach/subsetting/errors.py
+++ b/brookreach/subsetting/errors.py
@@ -1,11 +1,11 @@
-"""Errors of subsetting."""
+"""Exceptions that the subsetting package raises."""
 
 from __future__ import annotations
 
 
 class SubsettingError(Exception):
-    """Base of the errors that this package raises."""
+    """Base class of the exceptions of this package."""
 
 
 class InvalidViewError(SubsettingError, ValueError):
-    """A view or change that no placement can be made of."""
+    """A view or change is not valid, so no placement can be computed from it."""
--- a/brookreach/subsetting/fleet_view.py
+++ b/brookreach/subsetting/fleet_view.py
@@ -1,7 +1,7 @@
-"""The agreed view of the fleet that placements are made of: balancers, services, and changes between versions.
+"""The replicated view of the fleet from which placements are computed: balancers, services, and changes to them.
 
-Versions are given by the one replicated log (see `hold_down`). A change names the version that it follows; it must not
-be applied to any other.
+The replicated log assigns the version numbers (see `hold_down`). A change names the version that it is based on and
+must not be applied to any other version.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 
 
 class Locality(NamedTuple):
-    """A failure domain."""
+    """A failure domain: one zone of one region."""
 
     region: str
     zone: str
 
 
 class Balancer(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One live balancer. `weight` is its size in whole units; `session` grows with each start."""
+    """One live balancer. `weight` is its capacity in whole units; `session` increases with each start."""
 
     name: str
     region: str
@@ -32,12 +32,12 @@
 
     @property
     def locality(self) -> Locality:
-        """Its failure domain."""
+        """The failure domain that the balancer runs in."""
         return Locality(self.region, self.zone)
 
 
 class Service(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What holding a service costs: nodes, routes and tenants in rows, RPCs a second at the peak."""
+    """The sizes of a service: nodes, routes and tenants in rows, and RPCs per second at the peak."""
 
     name: str
     nodes: int = 0
@@ -47,19 +47,19 @@
 
 
 class FleetView(msgspec.Struct, frozen=True):
-    """One version of the fleet. Rows are sorted by name, and each name stands once."""
+    """One version of the fleet. Rows are sorted by name, and names are unique."""
 
     version: int = 0
     balancers: tuple[Balancer, ...] = msgspec.field(name="marshals", default=())
     services: tuple[Service, ...] = ()
 
     def balancer(self, name: str) -> Balancer | None:
-        """Returns the balancer of that name."""
+        """Returns the balancer with this name, or None if the view has none."""
         return next((balancer for balancer in self.balancers if balancer.name == name), None)
 
 
 class ViewChange(msgspec.Struct, frozen=True):
-    """The rows that are new or changed and the names that are removed from one version to the next."""
+    """The rows added or changed and the names removed between `base_version` and `version`."""
 
     base_version: int = msgspec.field(name="since")
     version: int
@@ -70,7 +70,7 @@
 
 
 def make_view(version: int, balancers: Iterable[Balancer], services: Iterable[Service]) -> FleetView:
-    """Returns a sorted view; raises InvalidViewError for a duplicate name or a size that is too small."""
+    """Returns a view with sorted rows; raises InvalidViewError for a duplicate name or a size below its minimum."""
     sorted_balancers = tuple(sorted(balancers, key=lambda balancer: balancer.name))
     sorted_services = tuple(sorted(services, key=lambda service: service.name))
     _check_unique("marshal", [balancer.name for balancer in sorted_balancers])
@@ -90,11 +90,11 @@
         return
     duplicate = next(name for name in sorted_names if sorted_names.count(name) > 1)
     count = sorted_names.count(duplicate)
-    raise InvalidViewError(f"{kind} {duplicate!r} stands {count} times; once is allowed")
+    raise InvalidViewError(f"{kind} {duplicate!r} occurs {count} times; once is allowed")
 
 
 def diff_views(old: FleetView, new: FleetView) -> ViewChange:
-    """Returns the change that leads from `old` to `new`."""
+    """Returns the change that turns `old` into `new`."""
     old_balancers = {balancer.name: balancer for balancer in old.balancers}
     old_services = {service.name: service for service in old.services}
     new_balancers = {balancer.name for balancer in new.balancers}
@@ -110,12 +110,12 @@
 
 
 def is_successor(view: FleetView, change: ViewChange) -> bool:
-    """Returns whether `change` begins at exactly the version of `view`; otherwise it is old or one is missing."""
+    """Returns whether `change` is based on the version of `view`; if not, it is outdated or follows a gap."""
     return change.base_version == view.version
 
 
 def apply_change(view: FleetView, change: ViewChange) -> FleetView:
-    """Returns the next view; raises InvalidViewError where it would not be valid."""
+    """Returns the next view; raises InvalidViewError if that view would be invalid."""
     balancers = {balancer.name: balancer for balancer in view.balancers}
     services = {service.name: service for service in view.services}
     for name in change.removed_balancers:
--- a/brookreach/subsetting/full_placement.py
+++ b/brookreach/subsetting/full_placement.py
@@ -1,9 +1,9 @@
-"""Placement from nothing: which balancers hold which services, a pure function of the view and the settings.
+"""Full placement: computes which balancers hold which services as a pure function of the view and the settings.
 
-Services are placed one after another in the order of their names' hashes. Each goes, zone by zone, down the list of
-the zone's balancers by weighted rendezvous score and takes those that stay within their caps; what a zone has no
-capacity for goes to the best of the others. The caps are hard: a service that finds no capacity has fewer balancers
-and is named in `Placement.shortfalls`.
+Services are placed one after another in the order of the hashes of their names. For each zone, a service is offered to
+the zone's balancers in descending order of weighted rendezvous score, and is placed on those that stay within their
+caps. If a zone lacks capacity, the rest of its quota goes to the highest-scored balancers of all other zones. The caps
+are hard limits: a service that finds no capacity gets fewer balancers and is listed in `Placement.shortfalls`.
 """
 
 from __future__ import annotations
@@ -15,5 +15,5 @@
 
 
 def place_services(view: FleetView, settings: Settings) -> Placement:
-    """Returns the placement; an `IncrementalPlacer` comes to the same from the one before, with less work."""
+    """Returns the placement; an `IncrementalPlacer` derives the same one from its predecessor with less work."""
     return IncrementalPlacer(settings).update(view)
--- a/brookreach/subsetting/placement_entries.py
+++ b/brookreach/subsetting/placement_entries.py
@@ -1,4 +1,4 @@
-"""What the incremental placer keeps: by balancer what lies on it, by service what was examined to place it."""
+"""State of the incremental placer: the services on each balancer, and the balancers examined for each service."""
 
 from __future__ import annotations
 
@@ -11,12 +11,13 @@
 from brookreach.subsetting.fleet_view import Balancer, Locality, Service
 from brookreach.subsetting.settings import Settings
 
+# Values of `ServiceEntry.lowest_scores` that are no scores: scores are 64-bit hashes.
 WHOLE_ZONE_EXAMINED = -1  # below every score
 NOTHING_EXAMINED = 1 << 64  # above every score
 
 
 class ServiceOrder(NamedTuple):
-    """Where a service stands among all: services are placed in this order."""
+    """Sort key of a service: services are placed in ascending order of it."""
 
     name_hash: int
     name: str
@@ -24,7 +25,7 @@
 
 @dataclass(slots=True)
 class BalancerEntry:
-    """One balancer, the services that it accepted with their loads, and those that it rejected for want of capacity."""
+    """One balancer, the loads of the services that it accepted, and the services that it had no capacity for."""
 
     balancer: Balancer
     encoded_name: bytes
@@ -34,7 +35,7 @@
 
     @property
     def member(self) -> rendezvous.Member:
-        """The balancer as a member of a ranking."""
+        """The balancer as a member of a rendezvous ranking."""
         return rendezvous.Member(self.balancer.name, self.encoded_name, self.balancer.weight)
 
     def load_before(self, order: ServiceOrder) -> Load:
@@ -44,17 +45,17 @@
 
 @dataclass(slots=True)
 class ServiceEntry:
-    """One service, its balancers, and what was examined to find them.
+    """One service, the balancers that hold it, and the balancers that were examined to place it.
 
     Attributes:
-        order: Its place among all services.
+        order: Its position in the order of placement.
         service: Its sizes.
-        required: How many balancers it should have.
-        load: On each of them.
-        key: Of its rendezvous scores.
-        holders: The balancers that hold it.
+        required: How many balancers it requires.
+        load: The load that it puts on each of its balancers.
+        key: The key of its rendezvous scores.
+        holders: The balancers that accepted it.
         examined: The balancers that accepted or rejected it.
-        lowest_scores: By zone, the lowest score that was examined.
+        lowest_scores: The lowest score that was examined in each zone.
     """
 
     order: ServiceOrder
@@ -69,7 +70,7 @@
 
 @dataclass(slots=True)
 class WorkCounters:
-    """Counted since the placer was made."""
+    """Counts of the work that a placer has done since it was created."""
 
     hashes: int = 0
     services_placed: int = 0
@@ -77,7 +78,7 @@
 
 
 def sum_loads(loads: Iterable[Load]) -> Load:
-    """Returns the sum of loads."""
+    """Returns the sum of the loads."""
     totals = [0] * len(Load._fields)
     for load in loads:
         for index, amount in enumerate(load):
@@ -86,12 +87,12 @@
 
 
 def make_balancer_entry(balancer: Balancer, settings: Settings) -> BalancerEntry:
-    """Returns an entry on which nothing lies."""
+    """Returns the entry of a balancer that holds no services."""
     return BalancerEntry(balancer, balancer.name.encode(), demand.capacity_limit(settings.caps, balancer.weight))
 
 
 def make_service_entry(service: Service, settings: Settings) -> ServiceEntry:
-    """Returns an entry that is not yet placed."""
+    """Returns the entry of a service that is not yet placed."""
     name_hash = rendezvous.score(rendezvous.make_key("order"), service.name.encode(), 1)
     return ServiceEntry(
         order=ServiceOrder(name_hash, service.name),
--- a/brookreach/subsetting/rendezvous.py
+++ b/brookreach/subsetting/rendezvous.py
@@ -1,9 +1,9 @@
-"""Weighted rendezvous hashing in whole numbers.
+"""Weighted rendezvous hashing (Thaler and Ravishankar, 1998) in integer arithmetic.
 
-A member of weight w has w tickets for a key, and its score is the best of them: the largest of w evenly distributed
-hashes wins with a probability in proportion to w, as the logarithm of the usual formula does, without floats. A
-ticket's hash depends on key, member and ticket only, so a member that comes or goes, or whose weight changes, changes
-no score but its own. Thaler and Ravishankar (1998); the hash is XXH3 of 64 bits.
+A member of weight w has w tickets for a key, each with its own hash, and its score is the highest of these hashes. The
+maximum of w uniformly distributed hashes wins with a probability proportional to w, which the usual formula achieves
+with a logarithm of floats. The hash of a ticket depends only on the key, the member and the ticket's number, so a
+member that joins, leaves or changes its weight changes no other member's score. The hash is 64-bit XXH3.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Member(NamedTuple):
-    """A member to be ranked."""
+    """A candidate to be ranked for a key."""
 
     name: str
     encoded_name: bytes
@@ -25,11 +25,11 @@
 
 
 Ranking = list[tuple[int, str]]
-"""Scores and names, the best first. Equal scores are ordered by name."""
+"""Pairs of score and name in descending order; names break ties."""
 
 
 def score(key: bytes, encoded_name: bytes, weight: int) -> int:
-    """Returns the best ticket's hash. `key` ends in the separator: see `make_key`."""
+    """Returns the highest hash of the member's tickets. `key` ends in the separator (see `make_key`)."""
     text = key + encoded_name
     best: int = xxh3_64_intdigest(text, 0)
     for ticket in range(1, weight):
@@ -38,12 +38,12 @@
 
 
 def make_key(*parts: str) -> bytes:
-    """Returns a key that differs for different parts: no name contains a zero byte."""
+    """Returns a key that is unique for these parts, because no name contains a zero byte."""
     return b"".join(part.encode() + SEPARATOR for part in parts)
 
 
 def rank(key: bytes, members: Iterable[Member]) -> Ranking:
-    """Returns the members by score."""
+    """Returns the members in descending order of score."""
     scored = [
         (xxh3_64_intdigest(key + encoded_name) if weight == 1 else score(key, encoded_name, weight), name)
         for name, encoded_name, weight in members
--- a/brookreach/subsetting/zone_counts.py
+++ b/brookreach/subsetting/zone_counts.py
@@ -1,4 +1,4 @@
-"""How many balancers of a service stand in each zone."""
+"""How many balancers of a service each zone provides."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def order_zones(service: str, localities: Sequence[tuple[str, str]]) -> list[Locality]:
-    """Returns the zones by turns of regions, so that the first few lie in as many regions as there are."""
+    """Returns the zones with their regions alternating, so that the first zones cover as many regions as possible."""
     scored_zones: dict[str, list[tuple[int, str]]] = {}
     for region, zone in sorted(localities):
         key = rendezvous.make_key("zone", service, region)
@@ -17,19 +17,19 @@
     zones = {region: [zone for _, zone in sorted(scored)] for region, scored in scored_zones.items()}
     region_key = rendezvous.make_key("region", service)
     regions = sorted(zones, key=lambda region: (rendezvous.score(region_key, region.encode(), 1), region))
-    turns = max(map(len, zones.values()), default=0)
+    max_zones = max(map(len, zones.values()), default=0)
     return [
-        Locality(region, zones[region][turn])
-        for turn in range(turns)
+        Locality(region, zones[region][rank])
+        for rank in range(max_zones)
         for region in regions
-        if turn < len(zones[region])
+        if rank < len(zones[region])
     ]
 
 
 def zone_quotas(order: Sequence[Locality], required: int, members: Mapping[Locality, int]) -> dict[Locality, int]:
-    """Returns how many balancers each zone gets: one a zone by turns, without zones that have no more.
+    """Returns how many balancers each zone provides, assigned round-robin; zones without spare members are skipped.
 
-    Zones differ by at most one unless one of them runs out.
+    Quotas differ by at most one, except for zones that have too few members.
     """
     quotas = dict.fromkeys(order, 0)
     remaining = min(required, sum(members[zone] for zone in order))
