--- a/brookreach/subsetting/handover.py
+++ b/brookreach/subsetting/handover.py
@@ -1,16 +1,17 @@
-"""One balancer's way from one placement to the next, without a gap in coverage: make before break.
+"""Make-before-break handover: moves one balancer from one placement to the next without a gap in coverage.
 
-A balancer that is to hold a service loads it at once. One that is to release it goes on until every holder of the
-service's present placement has acknowledged, in its present session, that it serves the service and knows this version
-of the view or a later one; only then does it drain.
+A balancer that is newly assigned a service loads it at once. A balancer that has to release a service keeps serving it
+until every holder in the current placement has acknowledged, in its current session, that it serves the service and
+knows this version of the view or a later one; only then does the balancer drain the service.
 
-Why the service is covered at every instant, whatever is late, duplicated or lost: let v be the latest version of which
-some balancer knew all holders to have acknowledged. Each of them knew v or a later version when it did, so it may
-drain only under a later version, and only after all holders of that one have acknowledged, which would then be the
-latest. So all holders of version v serve, but for those that died.
+Proof that a service is covered at every instant, even if messages are delayed, duplicated or lost: let v be the latest
+version for which some balancer has received acknowledgements from all holders. Each holder knew v or a later version
+when it acknowledged, so it may drain only under a later version, and only after all holders of that version have
+acknowledged; but then that version would be the latest, not v. So all holders of version v serve, except those that
+have died.
 
-A balancer never drains on acknowledgements of another version or session, after its lease by its own clock, or because
-the view places a service nowhere that is still configured.
+A balancer never drains on acknowledgements for an earlier version or session, after its lease has expired by its own
+clock, or because the view has no balancers for a service that is still configured.
 """
 
 from __future__ import annotations
@@ -33,15 +34,15 @@
 
 @dataclass(slots=True)
 class HeldService:
-    """A service that this balancer holds. While it is neither serving nor loaded, its rows are on their way.
+    """State of one service that this balancer holds. If neither serving nor loaded, its rows are still being loaded.
 
     Attributes:
-        placement_version: From which on the service's placement is the present one, as far as is known.
-        serving: It accepts RPCs.
-        loaded: Its rows are complete, in this session.
-        draining: It finishes the RPCs in flight.
-        acknowledged: The holders that have acknowledged.
-        queried_ms: When the others were queried last.
+        placement_version: The earliest version since which the service's placement is known to be unchanged.
+        serving: Whether RPCs of the service are accepted.
+        loaded: Whether the service's rows are complete in the current session.
+        draining: Whether the service accepts no new RPCs and only finishes those in flight.
+        acknowledged: The holders whose acknowledgements count for the current placement.
+        queried_ms: When the holders without an acknowledgement were last queried; None: not for this placement.
     """
 
     placement_version: int = 0
@@ -52,16 +53,17 @@
     queried_ms: int | None = None
 
     def reset_acks(self, placement_version: int) -> None:
-        """The placement changed, or may have: acknowledgements of before do not count."""
+        """Discards acknowledgements, because the placement has changed or may have changed."""
         self.placement_version = placement_version
         self.queried_ms = None
         self.acknowledged.clear()
 
 
 class SubsetHandover:
-    """A balancer's subset of services, without I/O.
+    """State machine of one balancer's subset of services; it does no I/O.
 
-    Methods take `now_ms` by this balancer's own clock where time matters, and return effects in their order.
+    Methods that depend on time take `now_ms` of this balancer's own clock. They return effects that the caller executes
+    in order.
     """
 
     def __init__(self, name: str, settings: Settings) -> None:
@@ -76,22 +78,22 @@
 
     @property
     def serving(self) -> set[str]:
-        """Services whose RPCs are accepted."""
+        """The services whose RPCs this balancer accepts."""
         return {service for service, held in self._services.items() if held.serving}
 
     @property
     def held_services(self) -> set[str]:
-        """Services whose rows are held or on their way."""
+        """The services whose rows this balancer holds or is loading."""
         return set(self._services)
 
     def holders(self, service: str) -> tuple[str, ...]:
-        """Returns the balancers that an RPC of this service may be forwarded to, as this balancer knows."""
+        """Returns the balancers that an RPC of this service may be forwarded to, by this balancer's view."""
         return self._holders.get(service, ())
 
     # --- lease ---
 
     def lease_renewed(self, session: int, until_ms: int) -> list[Effect]:
-        """The lease begins or goes on. In a new session held services go on serving and are loaded anew."""
+        """Handles a granted or renewed lease. In a new session, held services are still served and are reloaded."""
         self._lease_until_ms = until_ms
         if session == self._session:
             return []
@@ -111,17 +113,17 @@
     # --- views ---
 
     def version_announced(self, version: int) -> list[Effect]:
-        """The latest version is announced; the view is requested where this balancer is behind."""
+        """Handles an announcement of the latest version; requests the full view if this balancer is behind it."""
         return [RequestFullView(self.view.version)] if version > self.view.version else []
 
     def full_view_received(self, view: FleetView, now_ms: int) -> list[Effect]:
-        """A full view arrived. Versions between may have been missed, so earlier acknowledgements do not count."""
+        """Handles a full view; discards acknowledgements, since versions in between may have been missed."""
         if view.version <= self.view.version:
             return []
         return self._update_view(view, now_ms, may_have_missed=True)
 
     def view_change_received(self, change: ViewChange, now_ms: int) -> list[Effect]:
-        """A change arrived. Old ones are ignored; after a gap the full view is requested and the present one stays."""
+        """Handles a change; ignores an outdated one; after a gap keeps the current view and requests the full one."""
         if change.version <= self.view.version:
             return []
         if not is_successor(self.view, change):
@@ -155,7 +157,7 @@
     # --- rows and RPCs ---
 
     def service_loaded(self, service: str) -> list[Effect]:
-        """The service's rows are complete."""
+        """Handles the completion of a service's rows; the service is served from now on unless it is draining."""
         held = self._services.get(service)
         if held is not None:
             held.loaded = True
@@ -163,7 +165,7 @@
         return []
 
     def service_idle(self, service: str) -> list[Effect]:
-        """The last RPC of a draining service ended."""
+        """Handles the end of the last RPC of a draining service."""
         held = self._services.get(service)
         if held is None or not held.draining:
             return []
@@ -173,7 +175,7 @@
     # --- make before break ---
 
     def query_received(self, query: HandoverQuery, now_ms: int) -> list[Effect]:
-        """Acknowledges only what is true by this balancer's own lease, and at no earlier version than the query's."""
+        """Acknowledges a query only if this balancer serves the service, has a lease and knows the query's version."""
         held = self._services.get(query.service)
         if held is None or not held.serving or not held.loaded:
             return []
@@ -182,7 +184,7 @@
         return [HandoverAck(self._name, query.sender, query.service, self.view.version, self._session)]
 
     def ack_received(self, ack: HandoverAck, now_ms: int) -> list[Effect]:
-        """A holder acknowledged."""
+        """Handles a holder's acknowledgement; one that is not valid is ignored."""
         held = self._services.get(ack.service)
         if held is not None and is_valid_ack(ack, held.placement_version, self._session_of(ack.sender)):
             held.acknowledged.add(ack.sender)
@@ -193,7 +195,7 @@
         return balancer.session if balancer else 0
 
     def tick(self, now_ms: int) -> list[Effect]:
-        """Releases what may be released and queries silent holders; to be called at least each `times.ask_ms`."""
+        """Releases services that may be released and queries holders again; called at least every `times.ask_ms`."""
         if not self._has_lease(now_ms):
             return []
         effects: list[Effect] = []
@@ -206,7 +208,7 @@
     def _release(self, service: str, held: HeldService, now_ms: int) -> list[Effect]:
         holders = self._holders.get(service)
         if holders is None or (not held.serving and not held.loaded):
-            return self._drain(service, held)  # no longer configured, or no balancer relies on this one
+            return self._drain(service, held)  # no longer configured, or not served yet, so nobody relies on it
         if not holders:
             return []
         missing = [name for name in holders if name not in held.acknowledged]
@@ -227,10 +229,10 @@
 
 
 def is_valid_ack(ack: HandoverAck, version: int, session: int) -> bool:
-    """Returns whether the acknowledgement is of this version or later, and of no earlier session of its sender."""
+    """Returns whether the acknowledgement is for `version` or later and from `session` of its sender or a later one."""
     return ack.version >= version and ack.session >= session
 
 
 def may_drain(missing: list[str]) -> bool:
-    """Returns whether no holder's acknowledgement is missing."""
+    """Returns whether the acknowledgements of all holders have arrived; `missing` lists those that have not."""
     return not missing
