--- a/brookreach/subsetting/incremental_placement.py
+++ b/brookreach/subsetting/incremental_placement.py
@@ -1,10 +1,14 @@
-"""The placement kept from one view to the next: only services that a change concerns are placed again.
+"""Incremental placement: updates the placement from view to view and re-places only the services that a change affects.
 
-A service's outcome depends on the balancers that it examined, each of which accepted or rejected it by the load of
-the services before it in the order. So a change places again: services that examined a balancer which is gone,
-services that would have examined one that is new, and those for which a load changed enough to reverse a decision.
-The outcome is always that of `full_placement.place_services` on the same view, whatever views came before (a property
-under test).
+The placement of a service depends on the balancers that were examined for it. Each of them accepted or rejected the
+service depending on its load of services earlier in the placement order. A change therefore re-places:
+
+- services that examined a balancer which has been removed;
+- services that would have examined a balancer which has been added;
+- services for which a changed load reverses a balancer's decision.
+
+The result always equals that of `full_placement.place_services` on the same view, regardless of earlier views; a
+property test checks this.
 """
 
 from __future__ import annotations
@@ -32,7 +36,7 @@
 
 
 class IncrementalPlacer:
-    """Takes one view after another, of any versions, and returns the placement of each."""
+    """Computes the placements of successive views; their versions may come in any order."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
@@ -55,12 +59,12 @@
                 self._enqueue(order)
         else:
             for entry in joined:
-                self._enqueue_concerned(entry)
+                self._enqueue_affected(entry)
         self._place_queued()
         return self._placement()
 
     def load(self, balancer: str) -> Load:
-        """Returns what lies on the balancer now."""
+        """Returns the current load on the balancer."""
         return sum_loads(self._balancers[balancer].accepted.values())
 
     # --- changes of the view ---
@@ -93,7 +97,7 @@
         self._enqueue_reversed(entry.order, released)
 
     def _update_balancers(self, view: FleetView) -> list[BalancerEntry]:
-        """Removes and adds balancers; returns those that are new or came back with another weight or place."""
+        """Removes and adds balancers; returns those that are new or have another weight or locality."""
         balancers = {balancer.name: balancer for balancer in view.balancers}
         for name, entry in list(self._balancers.items()):
             balancer = balancers.get(name)
@@ -123,9 +127,10 @@
         return {zone: len(entries) for zone, entries in self._zones.items()}
 
     def _quotas_may_differ(self, before: dict[Locality, int]) -> bool:
-        """Returns whether any service's quota of a zone may differ.
+        """Returns whether the quota of any service in any zone may have changed.
 
-        It may where zones appear or disappear, or where a zone has, or had, fewer balancers than a service requires.
+        This is possible if zones appear or disappear, or if the number of balancers in a zone changes and is or was
+        below the number that some service requires.
         """
         now = self._zone_sizes()
         if before.keys() != now.keys():
@@ -140,19 +145,19 @@
             self._queued.add(order)
             heapq.heappush(self._queue, order)
 
-    def _enqueue_concerned(self, new: BalancerEntry) -> None:
-        """Enqueues services that would have examined the new balancer."""
+    def _enqueue_affected(self, new: BalancerEntry) -> None:
+        """Enqueues the services that would have examined the new balancer."""
         zone = new.balancer.locality
         weight = new.balancer.weight
         self.work.hashes += len(self._services) * weight
         for entry in self._services.values():
             lowest = entry.lowest_scores.get(zone, WHOLE_ZONE_EXAMINED)
-            is_whole = lowest == WHOLE_ZONE_EXAMINED
-            if is_whole or rendezvous.score(entry.key, new.encoded_name, weight) >= lowest:
+            examined_all = lowest == WHOLE_ZONE_EXAMINED
+            if examined_all or rendezvous.score(entry.key, new.encoded_name, weight) >= lowest:
                 self._enqueue(entry.order)
 
     def _enqueue_reversed(self, order: ServiceOrder, changed: Iterable[BalancerEntry]) -> None:
-        """Enqueues services after `order` that one of the changed balancers would now decide about differently."""
+        """Enqueues the services after `order` for which a changed balancer would now reverse its decision."""
         for entry in changed:
             fits_all = sum_loads(entry.accepted.values()).fits_within(entry.limit)
             later = [other for other in entry.rejected if other > order]
@@ -192,7 +197,7 @@
         return rendezvous.rank(key, (entry.member for entry in entries))
 
     def _place_in_zone(self, entry: ServiceEntry, zone: Locality, ranking: rendezvous.Ranking, quota: int) -> int:
-        """Offers the service to the best balancers; returns how many of the quota are missing."""
+        """Offers the service to the zone's balancers in ranking order; returns how many of the quota are missing."""
         entry.lowest_scores[zone] = WHOLE_ZONE_EXAMINED if quota else NOTHING_EXAMINED
         missing = quota
         for score, name in ranking:
@@ -205,7 +210,7 @@
         return missing
 
     def _place_anywhere(self, entry: ServiceEntry, rankings: Iterable[rendezvous.Ranking], missing: int) -> None:
-        """Offers the service to all other balancers, the best first; from then on any new one concerns it."""
+        """Offers the service to all other balancers by descending score; from then on any new balancer affects it."""
         remaining = missing
         for _, name in sorted((scored for ranking in rankings for scored in ranking), reverse=True):
             if remaining and name not in entry.examined:
@@ -213,7 +218,7 @@
         entry.lowest_scores.clear()
 
     def _offer(self, entry: ServiceEntry, name: str) -> bool:
-        """Returns whether the balancer accepts the service."""
+        """Records and returns whether the balancer has capacity for the service."""
         balancer = self._balancers[name]
         entry.examined.add(name)
         if balancer.load_before(entry.order).add(entry.load).fits_within(balancer.limit):
@@ -224,7 +229,7 @@
         return False
 
     def _release(self, entry: ServiceEntry) -> list[BalancerEntry]:
-        """Takes the service off all balancers; returns those that held it."""
+        """Removes the service from all balancers that examined it; returns those that held it."""
         released = [self._balancers[name] for name in sorted(entry.holders)]
         for name in entry.examined:
             self._balancers[name].accepted.pop(entry.order, None)
--- a/brookreach/subsetting/settings.py
+++ b/brookreach/subsetting/settings.py
@@ -1,4 +1,7 @@
-"""Settings of subsetting, read from TOML: strict, with every error named by file, key, value and what is allowed."""
+"""Settings of subsetting, read from TOML.
+
+Reading is strict: every error names the file, the key, the value and the allowed values.
+"""
 
 from __future__ import annotations
 
@@ -10,49 +13,49 @@
 
 from brookreach.files import InvalidFileError, read_toml
 
-MAX_COUNT = 1_000_000  # of anything
+MAX_COUNT = 1_000_000  # upper limit of every setting that is not a duration
 MAX_DURATION_MS = 3_600_000
-MIN_BALANCERS = 4  # of a service: two may be lost, and a zone
+MIN_BALANCERS = 4  # per service, so that it survives the loss of two balancers and of a zone
 
 
 class Caps(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """[caps]: what a balancer of weight 1 may hold at most; one of weight w may hold w times as much."""
+    """[caps]: the maximum load of a balancer of weight 1; the limits of a balancer of weight w are w times as high."""
 
     services: int = 24
     nodes: int = 1200
     routes: int = 240
     tenants: int = 4800
-    rpcs: int = 300  # a second, its share of each service's peak
+    rpcs: int = 300  # per second: the sum of its shares of the services' peaks
 
 
 class Spread(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """[spread]: how many balancers a service has, before the caps."""
+    """[spread]: how many balancers a service requires, before the caps are applied."""
 
-    balancers: int = msgspec.field(name="marshals", default=6)  # of each service, at least
-    rpcs_per_balancer: int = msgspec.field(name="rpcs_per_marshal", default=50)  # a second
+    balancers: int = msgspec.field(name="marshals", default=6)  # minimum per service
+    rpcs_per_balancer: int = msgspec.field(name="rpcs_per_marshal", default=50)  # per second
 
 
 class Subset(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """[subset]: of a service with more endpoints than `nodes`, each balancer holds a subset."""
+    """[subset]: each balancer holds a subset of a service that has more endpoints than `nodes`."""
 
-    nodes: int = 200  # of one service on one balancer, at most
-    holders: int = 4  # balancers of each endpoint, at least
+    nodes: int = 200  # maximum number of endpoints of one service on one balancer
+    holders: int = 4  # minimum number of balancers per endpoint
     max_holders: int = msgspec.field(name="most_holders", default=8)
-    zone_nodes: int = 4  # of each zone on each balancer, where the zone has them
+    zone_nodes: int = 4  # minimum number of endpoints of each zone on each balancer, if the zone has as many
 
 
 class Times(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """[times]: hold-downs, in milliseconds."""
+    """[times]: hold-downs and intervals, in milliseconds."""
 
     removal_hold_ms: int = msgspec.field(name="gone_ms", default=90_000)  # longer than a restart, which moves nothing
-    join_hold_ms: int = msgspec.field(name="join_ms", default=5_000)  # without a break, until a balancer is placed
-    resize_hold_ms: int = msgspec.field(name="size_ms", default=60_000)  # of a service or balancer
-    batch_interval_ms: int = msgspec.field(name="batch_ms", default=1_000)  # changes due within it are one version
+    join_hold_ms: int = msgspec.field(name="join_ms", default=5_000)  # uninterrupted, before services are placed
+    resize_hold_ms: int = msgspec.field(name="size_ms", default=60_000)  # for services and balancers
+    batch_interval_ms: int = msgspec.field(name="batch_ms", default=1_000)  # changes due within it form one version
     query_interval_ms: int = msgspec.field(name="ask_ms", default=1_000)  # between queries of a pending handover
 
 
 class Settings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The whole file; every value has a default."""
+    """The complete settings file; every value has a default."""
 
     caps: Caps = Caps()
     spread: Spread = Spread()
@@ -61,11 +64,11 @@
 
 
 MINIMUMS = {"spread.marshals": MIN_BALANCERS, "times.gone_ms": 0, "times.join_ms": 0, "times.size_ms": 0}
-"""By the key's path; of all others 1."""
+"""Minimum values by key path; the minimum of all other keys is 1."""
 
 
 def read_settings(path: Path) -> Settings:
-    """Reads the file; raises InvalidFileError with all that is wrong in it."""
+    """Reads the file; raises InvalidFileError with all errors that were found in it."""
     values = read_toml(path)
     if errors := list(_errors(path, values)):
         raise InvalidFileError(errors)
@@ -79,7 +82,7 @@
     sections: dict[str, dict[str, int]] = msgspec.to_builtins(Settings())
     for section, keys in values.items():
         if section not in sections:
-            yield f"{path}: {section}: no such part; {', '.join(sections)} are allowed"
+            yield f"{path}: {section}: no such section; {', '.join(sections)} are allowed"
         elif not isinstance(keys, dict):
             yield f"{path}: {section}: {keys!r}; a table is allowed"
         else:
@@ -89,7 +92,7 @@
 
 
 def _key_error(section: str, key: str, value: object, known: dict[str, int]) -> str:
-    """Returns what is wrong with the value; "": nothing."""
+    """Returns the error in the key or its value, or "" if both are valid."""
     key_path = f"{section}.{key}"
     if key not in known:
         return f"{key_path}: no such key; {', '.join(known)} are allowed"
@@ -101,7 +104,7 @@
 
 
 def contradictions(settings: Settings) -> list[str]:
-    """Returns values that contradict each other, a line each."""
+    """Returns an error line for each pair of values that contradict each other."""
     subset = settings.subset
     caps = settings.caps
     errors: list[str] = []
