--- a/brookreach/subsetting/handover.py
+++ b/brookreach/subsetting/handover.py
@@ -208,7 +208,7 @@
     def _release(self, service: str, held: HeldService, now_ms: int) -> list[Effect]:
         holders = self._holders.get(service)
         if holders is None or (not held.serving and not held.loaded):
-            return self._drain(service, held)  # no longer configured, or not served yet, so nobody relies on it
+            return self._drain(service, held)  # no longer configured, or not served yet, so no handover relies on it
         if not holders:
             return []
         missing = [name for name in holders if name not in held.acknowledged]
