--- a/brookreach/subsetting/settings.py
+++ b/brookreach/subsetting/settings.py
@@ -82,7 +82,7 @@
     sections: dict[str, dict[str, int]] = msgspec.to_builtins(Settings())
     for section, keys in values.items():
         if section not in sections:
-            yield f"{path}: {section}: no such section; {', '.join(sections)} are allowed"
+            yield f"{path}: {section}: no such part; {', '.join(sections)} are allowed"
         elif not isinstance(keys, dict):
             yield f"{path}: {section}: {keys!r}; a table is allowed"
         else:
