--- a/brookreach/carbon_aware/application.py
+++ b/brookreach/carbon_aware/application.py
@@ -1,4 +1,4 @@
-"""The application of the replicated state machine for carbon-aware scheduling. No I/O."""
+"""The replicated state machine's application for carbon-aware scheduling. Does no I/O."""
 
 from __future__ import annotations
 
@@ -48,15 +48,15 @@
     View,
 )
 
-MAX_SLOTS_AHEAD = 1  # after the current one, that a marshal may ask for
+MAX_SLOTS_AHEAD = 1  # how far past the current slot a marshal may request calls
 
 
 class CarbonAwareApplication:
-    """Schedules of carbon intensity and what flexible work has reserved under them."""
+    """Applies commands on carbon intensity schedules and on the reservations of flexible work."""
 
     name = "power"
     version = VERSION
-    commands: Any = COMMANDS  # Any: the type of a union of types has no name
+    commands: Any = COMMANDS  # Any, because a union of classes has no static type that could be written here
     tables: Mapping[str, type[Row]] = {
         SCHEDULE_INTERVALS: IntensityRow,
         ACTIVE_SCHEDULE: ActiveScheduleRow,
@@ -67,31 +67,31 @@
         SLOT_TOTALS: SlotTotalsRow,
     }
 
-    def apply(self, view: View, order: Command, context: Context) -> list[RowUpdate]:
-        """Returns what a command changes; raises CommandRejectedError."""
+    def apply(self, view: View, command: Command, context: Context) -> list[RowUpdate]:
+        """Returns the row updates of a command; raises CommandRejectedError if it is not allowed or not valid."""
         changes = StagedChanges(view)
-        match order:
+        match command:
             case commands.BeginUpload():
                 _check_client_kind(context, "operator")
-                begin_upload(changes, order, context)
+                begin_upload(changes, command, context)
             case commands.UploadIntervals():
                 _check_client_kind(context, "operator")
-                add_intervals(changes, order, context)
+                add_intervals(changes, command, context)
             case commands.CommitSchedule():
                 _check_client_kind(context, "operator")
-                commit_schedule(changes, order, context)
+                commit_schedule(changes, command, context)
             case commands.DropSchedule():
                 _check_client_kind(context, "operator")
-                drop_schedule(changes, order, context)
+                drop_schedule(changes, command, context)
             case commands.RequestFlexibleCalls():
                 _check_client_kind(context, "marshal")
-                _reserve_flexible_calls(changes, order, context)
+                _reserve_flexible_calls(changes, command, context)
             case _:
-                raise CommandRejectedError(f"{wire_name(order)} is no record of power")
+                raise CommandRejectedError(f"{wire_name(command)} is no record of power")
         return changes.updates()
 
     def next_timer_ms(self, view: View) -> int | None:
-        """Returns when the active schedule or the earliest reserved slot ends."""
+        """Returns the time at which the active schedule or the earliest reserved slot ends; None: neither exists."""
         times: list[int] = []
         active: ActiveScheduleRow | None = view.get(ACTIVE_SCHEDULE, ACTIVE_KEY)
         if active is not None and not active.end_reason:
@@ -102,7 +102,7 @@
         return min(times, default=None)
 
     def advance_time(self, view: View, context: Context) -> list[RowUpdate]:
-        """Returns what has changed by time alone: slots that are over, a schedule that has expired."""
+        """Returns the updates that are due to time alone: removes past slots and marks an expired schedule."""
         updates = reservations.expire_slots(view, context.now_ms // SLOT_MS)
         active: ActiveScheduleRow | None = view.get(ACTIVE_SCHEDULE, ACTIVE_KEY)
         if active is not None and not active.end_reason and context.now_ms >= active.until_ms:
@@ -111,7 +111,7 @@
         return updates
 
     def end_session(self, view: View, context: Context) -> list[RowUpdate]:
-        """Returns what ends with a client's session: its reservation and its drafts."""
+        """Returns the updates that remove the reservation and the drafts of a client's ended session."""
         changes = StagedChanges(view)
         reservation: ReservationRow | None = view.get(RESERVATIONS, context.client)
         if reservation is not None and reservation.session == context.session:
@@ -133,7 +133,10 @@
 
 
 def _reserve_flexible_calls(changes: StagedChanges, command: commands.RequestFlexibleCalls, context: Context) -> None:
-    """Replaces what the marshal has reserved for the slot; what it has for other slots stays."""
+    """Replaces the marshal's reservation for the command's slot.
+
+    Its reservations for other slots are kept if they were made under the active schedule version.
+    """
     slot = context.now_ms // SLOT_MS
     last_slot = slot + MAX_SLOTS_AHEAD
     if not slot <= command.slot <= last_slot:
--- a/brookreach/carbon_aware/commands.py
+++ b/brookreach/carbon_aware/commands.py
@@ -1,7 +1,7 @@
 """Commands of carbon-aware scheduling: an operator uploads a schedule in parts, a marshal asks for flexible calls.
 
-Commands are stored as maps of their fields' names, under the tag of their class. A renamed class keeps its tag, a
-renamed field its name by `msgspec.field`.
+Commands are stored as maps from field name to value, with the tag of their class. A class that is renamed keeps its
+tag, and a field that is renamed keeps its stored name by `msgspec.field`.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 
 VERSION = 1
 MAX_INTERVALS_PER_COMMAND = 500
-MAX_INTERVAL_BYTES = 100  # encoded, with the longest name of a zone
-MAX_KEY_NUMBER = 9_999_999_999  # keys of tables hold ten digits
+MAX_INTERVAL_BYTES = 100  # when encoded, with a zone name of the greatest length
+MAX_KEY_NUMBER = 9_999_999_999  # table keys hold ten digits
 
 ScheduleVersion = Annotated[int, msgspec.Meta(ge=1, le=MAX_KEY_NUMBER)]
 Slot = Annotated[int, msgspec.Meta(ge=0, le=MAX_KEY_NUMBER)]
@@ -37,7 +37,7 @@
 
 
 class BeginUpload(Command, frozen=True, tag="Begin"):
-    """Begins the upload of a schedule; sent again by the same operator, begins it anew."""
+    """Begins the upload of a schedule; if the same operator sends it again, the upload starts over."""
 
     version: ScheduleVersion
     digest: Digest
@@ -47,7 +47,7 @@
 
 
 class UploadIntervals(Command, frozen=True, tag="Rows"):
-    """Carries one part of the schedule's intervals; parts are numbered from 0."""
+    """Carries one part of the schedule's intervals. Parts are numbered from 0."""
 
     version: ScheduleVersion
     part: Annotated[int, msgspec.Meta(ge=0, le=MAX_INTERVALS)]
@@ -57,24 +57,24 @@
 
 
 class CommitSchedule(Command, frozen=True, tag="Commit"):
-    """Makes the schedule the active one on every process, if it is complete and its digest matches."""
+    """Activates the schedule on every process if it is complete and its digest matches."""
 
     version: ScheduleVersion
     digest: Digest
 
 
 class DropSchedule(Command, frozen=True, tag="Drop"):
-    """Removes an upload, or the active schedule: then all zones count alike."""
+    """Removes an upload or the active schedule. Without an active schedule all zones cost the same."""
 
     version: ScheduleVersion
 
 
 class RequestFlexibleCalls(Command, frozen=True, tag="Steer"):
-    """Asks for so many flexible calls a second in cleaner zones during a slot; 0 gives them back."""
+    """Requests `calls_per_s` flexible calls per second in cleaner zones during a slot; 0 releases them."""
 
     slot: Slot
     calls_per_s: CallsPerSecond = msgspec.field(name="calls")
-    zones: Annotated[tuple[Name, ...], msgspec.Meta(max_length=MAX_ZONES)]  # with equally good nodes
+    zones: Annotated[tuple[Name, ...], msgspec.Meta(max_length=MAX_ZONES)]  # that have equally good nodes
 
 
 COMMANDS = BeginUpload | UploadIntervals | CommitSchedule | DropSchedule | RequestFlexibleCalls
@@ -86,9 +86,9 @@
     """Yields the commands that upload and commit a checked schedule.
 
     Args:
-        version: Of the schedule.
-        zones: The fields of `schedule.ZoneQuota` each.
-        intervals: The fields of `schedule.IntensityInterval` each, in any order.
+        version: Version of the schedule.
+        zones: Tuples with the fields of `schedule.ZoneQuota`.
+        intervals: Tuples with the fields of `schedule.IntensityInterval`, in any order.
     """
     ordered = sorted(intervals)
     digest = schedule_digest(version, zones, ordered)
--- a/brookreach/carbon_aware/cost_curve.py
+++ b/brookreach/carbon_aware/cost_curve.py
@@ -1,7 +1,7 @@
-"""The cost of electricity by zone and slot under the active schedule. No I/O.
+"""The carbon cost of running in each zone and slot under the active schedule. Does no I/O.
 
 Without an active schedule the curve is neutral: every zone and time costs 0, so no work waits or moves. A curve
-never holds a value of a version that is not committed, or of one that has expired.
+never contains values of a version that is not committed or has expired.
 """
 
 from __future__ import annotations
@@ -24,12 +24,13 @@
 
 @dataclass(frozen=True, slots=True)
 class CostCurve:
-    """Carbon intensities by zone.
+    """Carbon intensities per zone, in grams of CO2e per kWh.
 
     Attributes:
-        version: Of the schedule; 0: neutral.
-        intervals: By zone, in the order of time.
-        highest_grams: Of all intervals. Time that no interval covers costs as much: unknown must not look clean.
+        version: Version of the schedule; 0: the curve is neutral.
+        intervals: Intervals per zone, in order of time.
+        highest_grams: The highest intensity of all intervals. Time that no interval covers costs as much, so that
+            an unknown intensity does not look clean.
     """
 
     version: int
@@ -37,7 +38,7 @@
     highest_grams: int
 
     def slot_costs(self, zone: str, first_slot: int, count: int) -> list[int]:
-        """Returns grams a kWh times ms of running through each of `count` slots from `first_slot` on."""
+        """Returns the cost of each of `count` slots from `first_slot` on, in grams per kWh times ms."""
         costs = [0] * count
         covered_ms = [0] * count
         start_ms = first_slot * SLOT_MS
@@ -56,7 +57,7 @@
         ]
 
     def mean_grams(self, intervals: Iterable[tuple[str, int, int]]) -> int:
-        """Returns the mean grams a kWh over intervals of a zone, a first slot and the slot after the last."""
+        """Returns the mean grams per kWh over intervals, each a zone, its first slot and the slot after its last."""
         costs = [
             cost
             for zone, first_slot, end_slot in intervals
@@ -69,7 +70,7 @@
 
 
 def active_schedule(view: View, now_ms: int) -> ActiveScheduleRow | None:
-    """Returns the committed schedule if it covers `now_ms`."""
+    """Returns the committed schedule if it covers `now_ms`, else None."""
     row: ActiveScheduleRow | None = view.get(ACTIVE_SCHEDULE, ACTIVE_KEY)
     if row is not None and row.from_ms <= now_ms < row.until_ms:
         return row
@@ -77,13 +78,13 @@
 
 
 def active_version(view: View, now_ms: int) -> int:
-    """Returns the version of the active schedule; 0: none is active."""
+    """Returns the version of the active schedule; 0: no schedule is active."""
     row = active_schedule(view, now_ms)
     return 0 if row is None else row.version
 
 
 def active_curve(view: View, now_ms: int) -> CostCurve:
-    """Returns the curve of the active schedule, or the neutral one."""
+    """Returns the curve of the active schedule, or the neutral curve if none is active."""
     row = active_schedule(view, now_ms)
     if row is None:
         return NEUTRAL_CURVE
@@ -97,7 +98,7 @@
 
 
 def describe_schedule(view: View, now_ms: int) -> str:
-    """Returns the beginning of a placement's reason: the version in use, or why there is none."""
+    """Returns the first part of a placement's reason: the version in use, or why no schedule is active."""
     row: ActiveScheduleRow | None = view.get(ACTIVE_SCHEDULE, ACTIVE_KEY)
     if row is None:
         return "no schedule"
--- a/brookreach/carbon_aware/errors.py
+++ b/brookreach/carbon_aware/errors.py
@@ -4,12 +4,12 @@
 
 
 class CarbonAwareError(Exception):
-    """Base of the errors that this package raises."""
+    """Base class of the errors that this package raises."""
 
 
 class InvalidTimeError(CarbonAwareError, ValueError):
-    """A value is no time, has no offset from UTC, or lies outside the years that a schedule may cover."""
+    """A value is not a time, has no UTC offset, or lies outside the years that a schedule may cover."""
 
 
 class InvalidIntensityError(CarbonAwareError, ValueError):
-    """A value is no carbon intensity that a schedule may hold."""
+    """A value is not a carbon intensity within the limits of a schedule."""
--- a/brookreach/carbon_aware/placement.py
+++ b/brookreach/carbon_aware/placement.py
@@ -1,4 +1,4 @@
-"""What callers of the scheduler hand in and get back."""
+"""Input and result types of the scheduler."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 from brookreach.carbon_aware.reservations import PlannedInterval
 
 FutureCapacity = Callable[[str, int], int]
-"""Free capacity by zone and slot, where a caller knows what is to come (notices, the course of a day)."""
+"""Returns the free capacity of a zone in a slot, for callers that can predict it (notices, daily load pattern)."""
 
 
 @dataclass(frozen=True, slots=True)
 class FlexibleJob:
-    """One job as its owner knows it now.
+    """One job in its current state, as its owner describes it.
 
     Attributes:
-        holder: Under which capacity is reserved, as "gang:NAME" for gangs.
-        capacity: Of the whole job, in one zone, in the operators' unit.
-        work_ms: Of running that is left, with the load of a paused job.
-        deadline_ms: 0: none, and then the job is not made to wait.
-        allowed_zones: Empty: all zones of `free`.
-        migration_cost_ms: Checkpoint and load, for each move or pause.
-        min_run_ms: A run is not ended sooner for cleaner power.
-        current_zone: In which it runs; "": it does not run.
-        running_since_ms: Since when it runs there.
+        holder: Name under which capacity is reserved, for example "gang:NAME" for gangs.
+        capacity: Capacity that the whole job takes in one zone, in the operators' unit.
+        work_ms: Remaining running time, including the load time of a paused job.
+        deadline_ms: 0: no deadline; the job is then never made to wait.
+        allowed_zones: Zones that the job may use; empty: all zones in `free`.
+        migration_cost_ms: Time to checkpoint and load, for each move or pause.
+        min_run_ms: Time that a run lasts at least before it is ended for cleaner power.
+        current_zone: Zone in which the job runs; "": it does not run.
+        running_since_ms: Time at which the job started to run in `current_zone`.
     """
 
     holder: str
@@ -40,16 +40,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """What a job is to do until `valid_until_ms`; its owner asks again then, or when `free` or the schedule changes.
+    """What a job should do until `valid_until_ms`.
+
+    Its owner asks again at that time, or when `free` or the schedule changes.
 
     Attributes:
-        zone: Where it is to run; "": no zone has capacity for it, so it waits.
-        start_ms: The time asked at: it runs now (stays, starts or moves). Later: it waits or pauses until then.
-        valid_until_ms: The end of the current slot.
-        grams: A kWh, the mean over the planned running; 0 where no schedule is active.
-        reason: For operators.
-        intervals: To be reserved.
-        is_interrupted: The job runs, and is to leave its zone or to pause.
+        zone: Zone to run in; "": no zone has capacity for the job, so it waits.
+        start_ms: Time of the request if the job runs now (stays, starts or moves); a later time if it waits or pauses
+            until then.
+        valid_until_ms: End of the current slot.
+        grams: Mean grams of CO2e per kWh over the planned runs; 0 if no schedule is active.
+        reason: Explanation for operators.
+        intervals: Intervals that the caller has to reserve.
+        is_interrupted: Whether the job runs now and has to leave its zone or to pause.
     """
 
     zone: str
--- a/brookreach/carbon_aware/placement_request.py
+++ b/brookreach/carbon_aware/placement_request.py
@@ -1,4 +1,4 @@
-"""One request for a placement, in slots counted from the current one: what the scheduler's decision is made of."""
+"""One placement request: its planning problem and the possible placements, in slots from the current one on."""
 
 from __future__ import annotations
 
@@ -22,30 +22,30 @@
 from brookreach.coordination.state_machine.application import View
 
 HORIZON_SLOTS = 672  # a week
-EARLIEST_START_SLOTS = 96  # a day, beyond twice the job's need, that a start is looked for in
-CONGESTION_PERMILLE = 50  # dearer where all is reserved: jobs that do nearly as well elsewhere leave it to others
-SPARE_SLOTS = 1  # before the deadline, that no plan counts on: the current one may be nearly over
+EARLIEST_START_SLOTS = 96  # a day; the start is searched over this plus twice the slots that the job needs
+CONGESTION_PERMILLE = 50  # surcharge of a fully reserved slot, so that jobs with a nearly equal alternative avoid it
+SPARE_SLOTS = 1  # left unused before the deadline, because the current slot may be nearly over
 
 
 class _ImmediateRun(NamedTuple):
-    """A run as soon as possible; the least one is taken."""
+    """A candidate for a run as soon as possible. Candidates compare by their fields in order; the least is taken."""
 
-    net_lost_ms: int  # work lost by moving, less the time that capacity lasts
-    cost: int  # of a slot, on average
+    net_lost_ms: int  # work lost by moving, minus the length of the run
+    cost: int  # mean cost of a slot
     negative_free: int
     zone_index: int
     end: int
 
 
 class PlacementRequest:
-    """A job with the state that it is placed in.
+    """A job together with the replicated state and the free capacity that its placement depends on.
 
     Attributes:
-        slot: The current one.
-        zones: That the job may use, the current one first.
-        slots_remaining: That a plan may use before the deadline.
-        slots_needed: For the work without interruption.
-        min_run_slots: How long a run lasts at least.
+        slot: The current slot.
+        zones: Zones that the job may use, its current zone first.
+        slots_remaining: Slots before the deadline that a plan may use.
+        slots_needed: Slots that the work takes without interruption.
+        min_run_slots: Minimum length of a run in slots.
     """
 
     def __init__(
@@ -69,7 +69,7 @@
         self._locked_slots = self._remaining_locked_slots()
 
     def problem(self, curve: CostCurve, slot_count: int, *, ignore_later_reservations: bool = False) -> PlanningProblem:
-        """Returns the planning problem of the next slots; with the option, others give way after this slot."""
+        """Returns the planning problem; `ignore_later_reservations` counts those of others in the current slot only."""
         counted_slots = 1 if ignore_later_reservations else slot_count
         reserved = capacity_reserved_by_others(self._view, self._job.holder, self.slot, self.slot + counted_slots)
         costs = [self._zone_costs(curve, zone, slot_count, reserved) for zone in self.zones]
@@ -84,7 +84,7 @@
         )
 
     def fits(self, reserved: tuple[ReservedInterval, ...]) -> bool:
-        """Returns whether a reserved plan still holds: capacity, deadline, minimum run and all of the work."""
+        """Returns whether a reserved plan still keeps capacity, deadline and minimum run, and does all of the work."""
         if not reserved or reserved[-1].end_slot > self.slot + self.slots_remaining:
             return False
         is_continued = (reserved[0].zone, reserved[0].first_slot) == (self._job.current_zone, self.slot)
@@ -102,7 +102,7 @@
         return problem.capacity_ms(self.runs(reserved)) >= self._job.work_ms
 
     def runs(self, reserved: Sequence[ReservedInterval]) -> list[Run]:
-        """Returns reserved intervals as runs of the planning problem."""
+        """Converts reserved intervals to runs of the planning problem."""
         return [
             Run(
                 self.zones.index(interval.zone),
@@ -113,7 +113,7 @@
         ]
 
     def immediate_runs(self, problem: PlanningProblem) -> list[Run]:
-        """Returns all work in one run from now on, in the current zone or the cheapest; a plan is compared to it."""
+        """Returns one run of all work from now on, in the current or else the cheapest zone: the baseline for plans."""
         if self.slots_needed > problem.slot_count:
             return []
         zones = range(len(self.zones)) if problem.current_zone is None else [problem.current_zone]
@@ -122,7 +122,7 @@
         return min(possible, key=problem.cost, default=[])
 
     def reserved_placement(self, reserved: tuple[ReservedInterval, ...]) -> Placement:
-        """Returns the placement that a reserved plan stands for."""
+        """Returns the placement of a plan that is reserved already."""
         intervals = tuple(PlannedInterval(*interval[:3]) for interval in reserved)
         grams = [
             self._reserved_grams(interval.zone, slot)
@@ -132,17 +132,19 @@
         return self._placement(intervals, sum(grams) // len(grams), "as planned, ")
 
     def new_placement(self, curve: CostCurve, plan: Sequence[Run], remark: str = "") -> Placement:
-        """Returns the placement that a new plan stands for."""
+        """Returns the placement of a new plan."""
         intervals = tuple(
             PlannedInterval(self.zones[run.zone], run.first + self.slot, run.end + self.slot) for run in plan
         )
         return self._placement(intervals, curve.mean_grams(intervals), remark)
 
     def earliest_placement(self, curve: CostCurve, remark: str, *, is_late: bool) -> Placement:
-        """Returns a placement as soon as there is capacity: in the current zone, else where capacity lasts longest.
+        """Returns a placement that starts as soon as there is capacity.
 
-        A job that would be late otherwise reserves beside others. Their plans no longer fit then, and whichever of
-        them has time makes another.
+        The current zone is preferred, then the zone in which capacity lasts longest.
+
+        A job that would otherwise be late (`is_late`) ignores the later reservations of others and may overbook
+        them. Plans that no longer fit are replaced when their owners ask again, as far as those have time.
         """
         slot_count = min(HORIZON_SLOTS, 2 * self.slots_needed + EARLIEST_START_SLOTS)
         problem = self.problem(curve, slot_count, ignore_later_reservations=is_late)
@@ -163,7 +165,7 @@
             length = end - first
             continues = index == problem.current_zone
             if not length or (length < self.min_run_slots and not continues and not is_late):
-                continue  # no capacity, or it would have to leave before its minimum run
+                continue  # no capacity, or the run would be shorter than its minimum
             lost_ms = 0 if continues or not self._job.current_zone else self._job.migration_cost_ms
             cost = sum(slot_cost or 0 for slot_cost in row[first:end]) // length
             yield _ImmediateRun(lost_ms - length * SLOT_MS, cost, -self._free[self.zones[index]], index, end)
@@ -196,7 +198,7 @@
         return f"{verb} until {format_time(start_ms)}, then in {zone}"
 
     def _remaining_locked_slots(self) -> int:
-        """Returns the slots until the current run has lasted its minimum."""
+        """Returns the number of slots until the current run reaches its minimum length."""
         if not self._job.current_zone:
             return 0
         locked_until_ms = self._job.running_since_ms + self._job.min_run_ms
@@ -210,7 +212,7 @@
     def _zone_costs(
         self, curve: CostCurve, zone: str, slot_count: int, reserved: Mapping[tuple[str, int], int]
     ) -> list[int | None]:
-        """Returns what each slot costs, dearer the more is reserved in it; None where capacity is short."""
+        """Returns the cost of each slot, with a surcharge for its reservations; None: too little capacity."""
         costs: list[int | None] = []
         for slot, cost in enumerate(curve.slot_costs(zone, self.slot, slot_count), self.slot):
             load = reserved.get((zone, slot), 0)
@@ -225,7 +227,7 @@
         return self._future_capacity(zone, slot)
 
     def _has_capacity(self, interval: ReservedInterval) -> bool:
-        """Returns whether all that is reserved beside the interval is still free."""
+        """Returns whether the total reserved in each slot of the interval, this job included, fits the capacity."""
         if interval.zone not in self.zones or interval.amount != self._job.capacity:
             return False
         for slot in range(interval.first_slot, interval.end_slot):
