--- a/brookreach/carbon_aware/planner.py
+++ b/brookreach/carbon_aware/planner.py
@@ -1,9 +1,9 @@
-"""The cheapest runs of one job over slots and zones, with a price for each start and a minimum run. No I/O.
+"""Finds the cheapest runs of one job over slots and zones, with a cost of each start and a minimum run. Does no I/O.
 
-All arithmetic is in whole numbers, so every replica plans alike. The search is a Lagrangian relaxation: a price for
-work (grams a kWh times ms that a slot of it may cost) is bisected until the cheapest runs at that price hold all of
-the work; surplus slots are then removed from the ends of runs. The cheapest single run is tried beside it. The
-planner knows neither schedules nor reservations: costs are handed in.
+All arithmetic uses integers, so every replica computes the same plan. The search is a Lagrangian relaxation: the
+price of work (the cost that a slot of work may have, in grams per kWh times ms) is bisected until the cheapest runs
+at that price do all of the work; surplus slots are then removed from the ends of runs. The result is compared with
+the cheapest single run. The planner knows neither schedules nor reservations: callers pass in the costs.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 from brookreach.carbon_aware.priced_run_search import PricedRunSearch
 from brookreach.carbon_aware.tables import SLOT_MS
 
-PRICE_BISECTIONS = 12  # the price of work is found to 1 in 4,096 of the dearest slot
+PRICE_BISECTIONS = 12  # narrow the price to 1 in 4,096 of its range, which is 4 times the highest slot cost
 
 
 def cheapest_plan(problem: PlanningProblem) -> list[Run] | None:
-    """Returns the cheapest runs found; None: no runs hold the work."""
+    """Returns the cheapest runs found; None: no runs were found that do all of the work."""
     single = cheapest_single_run(problem)
     low = 0
     high = 4 * max((cost for row in problem.costs for cost in row if cost is not None), default=0) + 4
@@ -49,7 +49,7 @@
 
 
 class _SingleRun(NamedTuple):
-    """A candidate; the least one is taken: of equal costs the earliest, and first in the current zone."""
+    """A candidate plan of one run. The least is taken: of equal costs the earliest start, then the current zone."""
 
     cost: int
     first: int
@@ -59,7 +59,7 @@
 
 
 def cheapest_single_run(problem: PlanningProblem) -> list[Run] | None:
-    """Returns the cheapest plan of one run; None: no single run holds the work."""
+    """Returns the cheapest plan of one run; None: no single run does all of the work."""
     best = min(_single_runs(problem), default=None)
     return None if best is None else [Run(best.zone, best.first, best.end)]
 
@@ -84,7 +84,7 @@
 
 
 class _Trim(NamedTuple):
-    """The removal of a slot at an end of a run; the dearest is taken, of equal ones the latest."""
+    """The removal of a slot at an end of a run. The highest cost is taken, of equal costs the latest slot."""
 
     cost: int
     slot: int
@@ -93,7 +93,10 @@
 
 
 def trim_surplus(problem: PlanningProblem, runs: Sequence[Run]) -> list[Run]:
-    """Removes the dearest slots at ends of runs while all work is held and each run keeps its minimum."""
+    """Removes the costliest slots at the ends of runs.
+
+    It stops when less than a slot of surplus is left, or when every run has its minimum length.
+    """
     trimmed = list(runs)
     while problem.capacity_ms(trimmed) - problem.work_ms >= SLOT_MS:
         best = max(_possible_trims(problem, trimmed), key=lambda trim: trim[:2], default=None)
--- a/brookreach/carbon_aware/planning_problem.py
+++ b/brookreach/carbon_aware/planning_problem.py
@@ -1,4 +1,4 @@
-"""The problem that the planner solves: one job's work, and what each zone and slot would cost it. No I/O."""
+"""The problem that the planner solves: one job's work and its cost in each zone and slot. Does no I/O."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 INFINITE_COST = 1 << 62
 
-CostRow = Sequence[int | None]  # of a zone, by slot; None: the slot is not usable
+CostRow = Sequence[int | None]  # costs of a zone, indexed by slot; None: the slot is not usable
 
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """Slots `first` to before `end` in a zone; zones and slots by their indices."""
+    """A run in a zone from slot `first` to before slot `end`; zones and slots are given by index."""
 
     zone: int
     first: int
@@ -22,21 +22,21 @@
 
     @property
     def length(self) -> int:
-        """Slots of the run."""
+        """The number of slots of the run."""
         return self.end - self.first
 
 
 @dataclass(frozen=True, slots=True)
 class PlanningProblem:
-    """One job's work and what each slot would cost it.
+    """One job's work and its cost in each slot.
 
     Attributes:
-        costs: By zone and slot.
-        work_ms: Work to be done.
-        start_cost_ms: Work lost by each start, but for the first start of a job that has not run yet.
-        min_run_slots: How long a run lasts at least.
-        current_zone: In which the job runs; None: it does not run.
-        locked_slots: How many slots it has to stay there.
+        costs: Costs by zone and slot, in grams per kWh times ms.
+        work_ms: Running time that the work takes.
+        start_cost_ms: Running time lost by each start, except the first start of a job that has not run yet.
+        min_run_slots: Minimum length of a run in slots.
+        current_zone: Index of the zone in which the job runs; None: it does not run.
+        locked_slots: Number of slots for which the job has to stay in `current_zone`.
     """
 
     costs: Sequence[CostRow]
@@ -48,23 +48,23 @@
 
     @property
     def slot_count(self) -> int:
-        """Slots that are planned for."""
+        """The number of slots in the planning horizon."""
         return len(self.costs[0]) if self.costs else 0
 
     def capacity_ms(self, runs: Sequence[Run]) -> int:
-        """Returns the work that the runs hold."""
+        """Returns the work that the runs do, after the time lost by their starts."""
         first_is_free = bool(runs) and (self.current_zone is None or self.continues_current(runs[0]))
         starts = len(runs) - 1 if first_is_free else len(runs)
         return sum(run.length for run in runs) * SLOT_MS - starts * self.start_cost_ms
 
     def continues_current(self, run: Run) -> bool:
-        """Returns whether the run goes on where the job runs now."""
+        """Returns whether the run continues the job's current run."""
         return run.zone == self.current_zone and run.first == 0
 
     def cost(self, runs: Sequence[Run]) -> int:
         """Returns the cost of the work; the last slot counts only as far as it is needed.
 
-        INFINITE_COST stands for runs through a slot that is not usable.
+        Returns INFINITE_COST for runs through a slot that is not usable.
         """
         total = 0
         for run in runs:
@@ -80,12 +80,12 @@
 
 
 def ceil_divide(dividend: int, divisor: int) -> int:
-    """Returns the quotient rounded up."""
+    """Returns the quotient, rounded up."""
     return -(-dividend // divisor)
 
 
 def prefix_sums(row: CostRow) -> list[int]:
-    """Returns the cost of all slots before each slot."""
+    """Returns, for each slot, the total cost of all slots before it; unusable slots count 0."""
     sums = [0]
     for cost in row:
         sums.append(sums[-1] + (cost or 0))
@@ -93,7 +93,7 @@
 
 
 def usable_until(row: CostRow) -> list[int]:
-    """Returns, by slot, the first slot from there on that is not usable."""
+    """Returns, for each slot, the first unusable slot from it on; the row's length if there is none."""
     until = [len(row)] * (len(row) + 1)
     for slot in range(len(row) - 1, -1, -1):
         until[slot] = slot if row[slot] is None else until[slot + 1]
@@ -101,5 +101,5 @@
 
 
 def usable_slots(problem: PlanningProblem, zone: int, first: int) -> int:
-    """Returns how many slots from `first` on the zone can be used without a break."""
+    """Returns the number of consecutive usable slots of the zone from `first` on."""
     return usable_until(problem.costs[zone])[first] - first
--- a/brookreach/carbon_aware/priced_run_search.py
+++ b/brookreach/carbon_aware/priced_run_search.py
@@ -1,4 +1,4 @@
-"""The cheapest runs of one job at a given price of work, by dynamic programming over slots. No I/O."""
+"""Finds the cheapest runs of one job at a given price of work, by dynamic programming over slots. Does no I/O."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 
 
 class PricedRunSearch:
-    """Searches the runs of one problem at one price after the other."""
+    """Searches the cheapest runs of one problem, for one price at a time."""
 
     def __init__(self, problem: PlanningProblem) -> None:
         self._problem = problem
         self._zones = [_Zone(row) for row in problem.costs]
 
     def cheapest_runs(self, price: int) -> list[Run]:
-        """Returns the runs that are cheapest if a slot of work is worth `price`.
+        """Returns the runs with the least cost if a slot of work is worth `price`.
 
-        Of equal ones, a run that goes on is preferred to a new one, and an earlier start to a later one.
+        Of equal costs, continuing a run is preferred to starting one, and an earlier start to a later one.
         """
         return _PricedPass(self._problem, self._zones, price).solve()
 
 
 class _Zone:
-    """What does not depend on the price."""
+    """Values of a zone that do not depend on the price."""
 
     def __init__(self, row: CostRow) -> None:
         self.cost_sums = prefix_sums(row)
@@ -40,16 +40,16 @@
 
 
 class _Stop(NamedTuple):
-    """Where the job stopped: the zone, and the slot from which on it does not run there."""
+    """Where the job stopped: the zone, and the first slot in which it no longer runs there."""
 
     zone: int
     slot: int
 
 
 class _RunningStates:
-    """By slot: the least net cost of a job that runs in one zone as the slot begins, and when that run started.
+    """For each slot, the least net cost of a job that runs in one zone as the slot begins, and the start of that run.
 
-    Net is the cost less what the work is worth.
+    The net cost is the cost minus the value of the work at the current price.
     """
 
     def __init__(self, zone: _Zone, price: int, min_run_slots: int) -> None:
@@ -59,15 +59,15 @@
         self._net_sums = [cost - price * slot for slot, cost in enumerate(zone.cost_sums)]
         self.cost = [INFINITE_COST] * states
         self.run_start = [-1] * states
-        self.stop_before: dict[int, _Stop | None] = {}  # by the first slot of a run
+        self.stop_before: dict[int, _Stop | None] = {}  # keyed by the first slot of a run
 
     def lock(self, slots: int) -> None:
-        """The job runs here now, and does so for at least so many slots."""
+        """Sets the state of a job that runs here now and has to stay for at least `slots` slots."""
         self.cost[slots] = self._net_sums[slots]
         self.run_start[slots] = 0
 
     def advance(self, slot: int, start_cost: int, stop_before: _Stop | None) -> None:
-        """A run goes on through the slot, or begins with it."""
+        """Extends the current run through the slot, or starts a run with the slot, whichever costs less."""
         unusable_from = self._usable_until[slot]
         if unusable_from == slot:
             return
@@ -88,13 +88,16 @@
 
 
 class _PricedPass:
-    """One pass over the slots: the least net cost of a job that is idle, or runs in a zone, as each slot begins."""
+    """One pass over the slots at one price.
+
+    It computes the least net cost of a job that is idle or runs in a zone as each slot begins.
+    """
 
     def __init__(self, problem: PlanningProblem, zones: list[_Zone], price: int) -> None:
         self._problem = problem
         self._restart_cost = price * problem.start_cost_ms // SLOT_MS
         self._running = [_RunningStates(zone, price, problem.min_run_slots) for zone in zones]
-        self._idle_cost = [INFINITE_COST] * (problem.slot_count + 1)  # of a job that has run before
+        self._idle_cost = [INFINITE_COST] * (problem.slot_count + 1)  # of a job that has run before this slot
         self._idle_since: list[_Stop | None] = [None] * (problem.slot_count + 1)
 
     def solve(self) -> list[Run]:
@@ -110,24 +113,24 @@
         return self._trace_back()
 
     def _update_idle(self, slot: int) -> None:
-        """The job stays idle, or a run ends as the slot begins."""
-        lowest = INFINITE_COST
-        since = None
+        """Keeps the job idle, or ends a run as the slot begins, whichever costs less."""
+        least_cost = INFINITE_COST
+        last_stop = None
         if slot:
-            lowest = self._idle_cost[slot - 1]
-            since = self._idle_since[slot - 1]
+            least_cost = self._idle_cost[slot - 1]
+            last_stop = self._idle_since[slot - 1]
         for zone, running in enumerate(self._running):
             cost = running.cost[slot]
-            if cost < lowest:
-                lowest = cost
-                since = _Stop(zone, slot)
-        self._idle_cost[slot] = lowest
-        self._idle_since[slot] = since
+            if cost < least_cost:
+                least_cost = cost
+                last_stop = _Stop(zone, slot)
+        self._idle_cost[slot] = least_cost
+        self._idle_since[slot] = last_stop
 
     def _advance(self, slot: int) -> None:
         start_cost = self._idle_cost[slot] + self._restart_cost
         stop_before = self._idle_since[slot]
-        if self._problem.current_zone is None and start_cost >= 0:  # better to start only now
+        if self._problem.current_zone is None and start_cost >= 0:  # a first start now costs no more
             start_cost = 0
             stop_before = None
         for running in self._running:
@@ -136,7 +139,7 @@
     def _trace_back(self) -> list[Run]:
         slot_count = self._problem.slot_count
         if self._problem.current_zone is None and self._idle_cost[slot_count] >= 0:
-            return []  # no work is worth its cost
+            return []  # at this price no work is worth its cost
         reversed_runs: list[Run] = []
         stop = self._idle_since[slot_count]
         while stop is not None and stop.slot > 0:
--- a/brookreach/carbon_aware/reservations.py
+++ b/brookreach/carbon_aware/reservations.py
@@ -1,7 +1,7 @@
-"""Capacity that flexible work has reserved, by zone and slot. No I/O: functions return the rows to be changed.
+"""Reservations of flexible work by zone and slot. Does no I/O: functions return the row updates.
 
 The module owns SLOT_RESERVATIONS, RESERVATIONS and SLOT_TOTALS and keeps them consistent: a total is the sum of
-what is reserved in its slot and zone, and no row stays of a holder whose reservation is gone.
+the reservations in its slot and zone, and no row is left of a holder whose reservation was removed.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class PlannedInterval(NamedTuple):
-    """Slots `first_slot` to before `end_slot` in a zone."""
+    """A planned run in a zone from `first_slot` to before `end_slot`."""
 
     zone: str
     first_slot: int
@@ -44,18 +44,18 @@
 def reserve(
     view: View, now_ms: int, holder: str, capacity: int, intervals: Iterable[tuple[str, int, int]], session: int = 0
 ) -> list[RowUpdate]:
-    """Replaces all capacity that `holder` has reserved for its job.
+    """Replaces all capacity that is reserved under `holder`.
 
     Args:
         view: The replicated state.
         now_ms: The agreed time.
-        holder: Under which the capacity is reserved.
-        capacity: Of the job, the same in all intervals.
-        intervals: The fields of `PlannedInterval` each.
-        session: With which the reservation ends; 0: it lasts until its slots pass or it is released.
+        holder: Name under which the capacity is reserved.
+        capacity: Capacity of the job, the same in all intervals.
+        intervals: Tuples with the fields of `PlannedInterval`.
+        session: Session whose end removes the reservation; 0: it lasts until its slots pass or it is released.
 
     Returns:
-        The rows to be changed; none where the same is reserved already, so a plan that is kept changes nothing.
+        The row updates; empty if the same is reserved already, so an unchanged plan changes nothing.
     """
     requested = tuple(ReservedInterval(*interval, capacity) for interval in intervals)
     row: ReservationRow | None = view.get(RESERVATIONS, holder)
@@ -70,7 +70,7 @@
 
 
 def release(view: View, holder: str) -> list[RowUpdate]:
-    """Removes all that `holder` has reserved."""
+    """Returns the updates that remove all reservations of `holder`."""
     changes = StagedChanges(view)
     _remove(changes, holder)
     return changes.updates()
@@ -79,7 +79,7 @@
 def replace_reservation(
     view: View, now_ms: int, holder: str, intervals: Iterable[ReservedInterval], session: int, *, is_calls: bool
 ) -> list[RowUpdate]:
-    """Makes `intervals` all that `holder` has reserved, without what lies before the slot of `now_ms`."""
+    """Replaces all reservations of `holder` by `intervals`, cut at the beginning of the slot of `now_ms`."""
     changes = StagedChanges(view)
     _remove(changes, holder)
     upcoming = upcoming_intervals(intervals, now_ms // SLOT_MS)
@@ -96,10 +96,10 @@
 
 
 def upcoming_intervals(intervals: Iterable[tuple[str, int, int, int]], slot: int) -> tuple[ReservedInterval, ...]:
-    """Returns the intervals that end after `slot` begins; one that is under way begins at `slot`.
+    """Returns the intervals that end after `slot` begins; one that began earlier is cut to begin at `slot`.
 
     Args:
-        intervals: The fields of `ReservedInterval` each, as rows hold them.
+        intervals: Tuples with the fields of `ReservedInterval`, as stored in rows.
         slot: The current slot.
     """
     return tuple(
@@ -110,7 +110,7 @@
 
 
 def expire_slots(view: View, slot: int) -> list[RowUpdate]:
-    """Removes what is reserved in slots before `slot`, and the reservations that end there."""
+    """Returns the updates that remove reservations in slots before `slot`, and holders with no later slot."""
     changes = StagedChanges(view)
     expired_holders: list[str] = []
     for key, _ in view.rows(SLOT_TOTALS):
@@ -129,7 +129,7 @@
 
 
 def earliest_slot(view: View) -> int | None:
-    """Returns the first slot in which anything is reserved."""
+    """Returns the first slot that has a reservation; None: there are no reservations."""
     for key, _ in view.rows(SLOT_TOTALS):
         return int(key.partition("/")[0])
     return None
@@ -138,7 +138,7 @@
 def capacity_reserved_by_others(
     view: View, holder: str, first_slot: int, end_slot: int
 ) -> Mapping[tuple[str, int], int]:
-    """Returns the capacity that jobs of everybody but `holder` have reserved, by zone and slot."""
+    """Returns the capacity reserved for jobs of all holders except `holder`, by zone and slot."""
     reserved: dict[tuple[str, int], int] = {}
     for key, row in view.rows(SLOT_TOTALS):
         slot_text, _, zone = key.partition("/")
@@ -156,7 +156,7 @@
 
 
 def reserved_calls(view: View, zone: str, slot: int, holder: str) -> int:
-    """Returns the calls a second that `holder` may send to the zone in the slot beyond its usual share."""
+    """Returns the calls per second that `holder` has reserved in the zone and slot, beyond its usual share."""
     row: ReservationRow | None = view.get(RESERVATIONS, holder)
     if row is None or not row.is_calls:
         return 0
@@ -177,7 +177,7 @@
         for slot in range(first_slot, end_slot):
             key = slot_reservation_key(zone, slot, holder)
             if changes.get(SLOT_RESERVATIONS, key) is None:
-                continue  # that slot has passed
+                continue  # the slot has passed and its row was removed
             changes.put(SLOT_RESERVATIONS, key, None)
             _add_to_total(changes, slot, zone, -amount, is_calls=row.is_calls)
 
--- a/brookreach/carbon_aware/schedule.py
+++ b/brookreach/carbon_aware/schedule.py
@@ -1,4 +1,4 @@
-"""Carbon intensity schedules as values: their parts, limits, digest, and what no schedule may contain. No I/O."""
+"""Carbon intensity schedules: value types, limits, digest and validation. Does no I/O."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 
 import msgspec
 
-MAX_GRAMS_PER_KWH = 3000  # the most carbon-intensive plants stay under half of it
+MAX_GRAMS_PER_KWH = 3000  # the most carbon-intensive power plants stay below half of this
 MAX_ZONES = 64
 MAX_INTERVALS = 10_000
-MAX_INTERVAL_MS = 31 * 86_400_000  # one value for longer is no schedule
+MAX_INTERVAL_MS = 31 * 86_400_000  # a single value for a longer time is rejected as an error
 MAX_TIME_MS = 4_102_444_800_000  # the beginning of the year 2100
 EPOCH = datetime(1970, 1, 1, tzinfo=UTC)
 
 
 class ZoneQuota(NamedTuple):
-    """A zone and the flexible calls a second that it accepts beyond its usual share."""
+    """A zone and the flexible calls per second that it accepts beyond its usual share."""
 
     zone: str
     calls_per_s: int
 
 
 class IntensityInterval(NamedTuple):
-    """The carbon intensity of a zone from `from_ms` to before `to_ms`, in grams of CO2e a kWh."""
+    """The carbon intensity of a zone from `from_ms` to before `to_ms`, in grams of CO2e per kWh."""
 
     zone: str
     from_ms: int
@@ -36,30 +36,35 @@
 
 @dataclass(frozen=True, slots=True)
 class ScheduleProblem:
-    """Something that no schedule may contain, and the index of the interval that shows it; None: the whole does."""
+    """A reason why a schedule is invalid.
+
+    Attributes:
+        interval_index: Index of the interval that shows the problem; None: the schedule as a whole shows it.
+        text: Description of the problem.
+    """
 
     interval_index: int | None
     text: str
 
 
 def format_time(time_ms: int) -> str:
-    """Returns ms since 1970 as text in UTC, cut to seconds."""
+    """Formats ms since 1970 as UTC text, truncated to seconds."""
     return (EPOCH + timedelta(milliseconds=time_ms)).strftime("%Y-%m-%dT%H:%M:%SZ")
 
 
 def schedule_digest(
     version: int, zones: Sequence[tuple[str, int]], intervals: Sequence[tuple[str, int, int, int]]
 ) -> str:
-    """Returns the SHA-256 of a complete schedule in hex, whatever the order of its zones and intervals."""
+    """Returns the SHA-256 of a complete schedule in hex, independent of the order of its zones and intervals."""
     content = [version, sorted(zones), sorted(intervals)]
     return hashlib.sha256(msgspec.msgpack.encode(content)).hexdigest()
 
 
 def find_problems(zones: Sequence[str], intervals: Sequence[IntensityInterval]) -> Iterator[ScheduleProblem]:
-    """Yields everything that makes a schedule invalid.
+    """Yields the problems that make a schedule invalid.
 
-    The intervals of each zone have to come in the order of time, without gap or overlap, and all zones have to
-    cover the same time: otherwise they could not be compared in all of it.
+    The intervals of each zone have to come in order of time, without gaps or overlaps. All zones have to cover the
+    same time, because otherwise they could not be compared throughout it.
     """
     coverage = _Coverage(zones, intervals)
     for index, interval in enumerate(intervals):
@@ -72,7 +77,7 @@
 
 
 class _Coverage:
-    """The time that the intervals seen so far cover in each zone."""
+    """Tracks the time that the intervals added so far cover in each zone."""
 
     def __init__(self, zones: Sequence[str], intervals: Sequence[IntensityInterval]) -> None:
         self._zones = zones
@@ -82,7 +87,7 @@
         self._seen: set[IntensityInterval] = set()
 
     def add(self, index: int, interval: IntensityInterval) -> Iterator[str]:
-        """Takes the next interval into account and yields what is wrong with it."""
+        """Adds the next interval and yields the problems with it."""
         zone, from_ms, to_ms, grams = interval
         if zone not in self._zones:
             yield f"zone {zone!r} is not known; {', '.join(self._zones) or 'none'} are allowed"
@@ -103,7 +108,7 @@
         self._end_ms[zone] = max(to_ms, covered_until or 0)
 
     def compare_zones(self) -> Iterator[str]:
-        """Yields each zone that does not cover the time that the zones cover together."""
+        """Yields a problem for each zone that does not cover the time covered by all zones together."""
         for zone in self._zones:
             if zone not in self._start_ms:
                 yield f"zone {zone!r} has no rows"
