--- a/brookreach/carbon_aware/schedule_upload.py
+++ b/brookreach/carbon_aware/schedule_upload.py
@@ -1,7 +1,7 @@
-"""Commands that upload, commit and drop schedules, applied to the replicated state. No I/O.
+"""Applies the commands that upload, commit and drop schedules to the replicated state. Does no I/O.
 
-A schedule arrives in parts. It has no effect until it is committed: only then, complete and with the digest that
-was announced, every process uses it from one log index on.
+A schedule arrives in parts. It has no effect until it is committed, which requires that it is complete and has the
+announced digest. Every process then uses it from the same log index on.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 def begin_upload(changes: StagedChanges, command: BeginUpload, context: Context) -> None:
-    """Begins a draft; raises CommandRejectedError."""
+    """Begins a draft; raises CommandRejectedError if it is invalid or another operator has a draft of that version."""
     _check_announcement(changes, command)
     key = version_key(command.version)
     for other_key, draft in list(changes.rows(SCHEDULE_DRAFTS)):
@@ -40,7 +40,7 @@
             raise CommandRejectedError(
                 f"version {command.version} is being sent by {draft.operator}; drop it or take another"
             )
-        if draft.operator == context.client:  # one draft an operator, so that none are left behind
+        if draft.operator == context.client:  # one draft per operator, so that abandoned drafts do not accumulate
             remove_draft(changes, other_key)
     draft = ScheduleDraftRow(
         digest=command.digest,
@@ -56,7 +56,7 @@
 
 
 def add_intervals(changes: StagedChanges, command: UploadIntervals, context: Context) -> None:
-    """Adds the next part to the operator's draft; raises CommandRejectedError."""
+    """Adds the next part to the operator's draft; raises CommandRejectedError if it does not fit the draft."""
     draft = _draft_of(changes, command.version, context)
     if command.part != draft.parts_received:
         raise CommandRejectedError(
@@ -85,7 +85,7 @@
     key = version_key(command.version)
     for other_key, _ in list(changes.rows(SCHEDULE_DRAFTS)):
         if other_key < key:
-            remove_draft(changes, other_key)  # it could never be committed any more
+            remove_draft(changes, other_key)  # a version below the active one cannot be committed
     changes.put(SCHEDULE_DRAFTS, key, None)
     for zone, _ in list(changes.rows(ZONE_QUOTAS)):
         changes.put(ZONE_QUOTAS, zone, None)
@@ -103,7 +103,7 @@
 
 
 def drop_schedule(changes: StagedChanges, command: DropSchedule, context: Context) -> None:
-    """Removes a draft or ends the active schedule; raises CommandRejectedError where the version is neither."""
+    """Removes a draft or ends the active schedule; raises CommandRejectedError if the version is neither."""
     key = version_key(command.version)
     active: ActiveScheduleRow | None = changes.get(ACTIVE_SCHEDULE, ACTIVE_KEY)
     if changes.get(SCHEDULE_DRAFTS, key) is not None:
@@ -119,7 +119,7 @@
 
 
 def remove_draft(changes: StagedChanges, key: str) -> None:
-    """Removes a draft and the intervals that have arrived for it."""
+    """Removes a draft and the intervals received for it."""
     changes.put(SCHEDULE_DRAFTS, key, None)
     _remove_intervals(changes, key)
 
@@ -140,7 +140,7 @@
 
 
 def _check_newer(view: View, version: int) -> ActiveScheduleRow | None:
-    """Returns the schedule that `version` would replace; raises CommandRejectedError where it is no older one."""
+    """Returns the schedule that `version` would replace; raises CommandRejectedError unless `version` is newer."""
     active: ActiveScheduleRow | None = view.get(ACTIVE_SCHEDULE, ACTIVE_KEY)
     if active is not None and version <= active.version:
         raise CommandRejectedError(f"version {version}; version {active.version} is agreed; only more is allowed")
@@ -157,7 +157,7 @@
 
 
 def _check_complete(view: View, command: CommitSchedule, draft: ScheduleDraftRow, now_ms: int) -> str:
-    """Returns the digest of the schedule that has arrived; raises CommandRejectedError where it can't be committed."""
+    """Returns the digest of the received schedule; raises CommandRejectedError if it cannot be committed."""
     version = command.version
     intervals = _stored_intervals(view, version)
     digest = schedule_digest(version, draft.zones, intervals)
@@ -167,8 +167,8 @@
             f"begun as {draft.digest[:12]}, closed as {command.digest[:12]}"
         )
     for problem in find_problems([zone for zone, _ in draft.zones], intervals):
-        row = "" if problem.interval_index is None else f", row {problem.interval_index}"
-        raise CommandRejectedError(f"version {version}{row}: {problem.text}")
+        location = "" if problem.interval_index is None else f", row {problem.interval_index}"
+        raise CommandRejectedError(f"version {version}{location}: {problem.text}")
     first_ms = min(interval.from_ms for interval in intervals)
     last_ms = max(interval.to_ms for interval in intervals)
     if (first_ms, last_ms) != (draft.from_ms, draft.until_ms):
--- a/brookreach/carbon_aware/scheduler.py
+++ b/brookreach/carbon_aware/scheduler.py
@@ -1,13 +1,13 @@
-"""Where and when flexible work runs: the decision that applications with jobs of their own ask for. No I/O.
+"""Decides where and when flexible jobs run, for applications that own such jobs. Does no I/O.
 
-A placement follows the active schedule, the capacity that others have reserved, and the free capacity that the
-caller hands in. Disruption budgets, drains, caps, cold budgets, halts and work that is not flexible are known to the
-caller alone: a zone that one of them closes is missing from `free`, or has capacity 0 there. No placement goes
-beyond that.
+A placement depends on the active schedule, the capacity that others have reserved, and the free capacity that the
+caller passes in. Only the caller knows disruption budgets, drains, caps, cold budgets, halts and work that is not
+flexible: a zone that one of them closes is missing from `free` or has capacity 0 there. No placement exceeds `free`.
 
-Time is counted in whole slots from the current one, so the answer is the same for everyone who asks within a slot.
-A reserved plan stands while its schedule is active and it still fits; another replaces it only where it saves
-`MIN_SAVING_PERMILLE`. So curves that cross change nothing by themselves, and no job oscillates between zones.
+Time is counted in whole slots from the current one, so all requests within a slot get the same answer. A reserved
+plan is kept while its schedule is active and it still fits. Under a new schedule, a plan that still fits is replaced
+only by one that saves more than `MIN_SAVING_PERMILLE`, so that jobs do not oscillate between zones whose curves
+cross.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from brookreach.carbon_aware.tables import RESERVATIONS, SLOT_MS, ActiveScheduleRow, ReservationRow
 from brookreach.coordination.state_machine.application import View
 
-MIN_SAVING_PERMILLE = 20  # of the grams still to come, that a change of plan has to save
+MIN_SAVING_PERMILLE = 20  # of the remaining cost; a new plan has to save more than this
 
 
 def choose_placement(
@@ -33,20 +33,20 @@
     free: Mapping[str, int],
     future_capacity: FutureCapacity | None = None,
 ) -> Placement:
-    """Returns the placement with the least grams that keeps the deadline, the capacity and the minimum run.
+    """Returns the placement with the lowest emissions found that keeps the deadline, the capacity and the minimum run.
 
-    In the same command, the caller applies `reservations.reserve` with the placement's intervals beside its own
-    changes, so that the next decision counts this one's capacity; as the job ends, `reservations.release`. Asked
-    again while nothing has changed, it answers the same. Of several jobs, those with most time to their deadline
-    come first: where capacity is short, they give way.
+    In the same command, the caller applies `reservations.reserve` with the placement's intervals together with its
+    own changes, so that the next decision counts this job's capacity. When the job ends, the caller applies
+    `reservations.release`. Repeated requests return the same placement while nothing has changed. Of several jobs,
+    callers place those with the most time before their deadline first: these give way where capacity is short.
 
     Args:
         view: The replicated state.
         now_ms: The agreed time.
-        job: As its owner knows it now.
-        free: Capacity by zone for flexible work in all. What the job itself and other work with reservations hold
-            is not subtracted, everything else is.
-        future_capacity: The free capacity of later slots; by default that of now is taken to last.
+        job: The job in its current state.
+        free: Total capacity per zone for flexible work. Capacity in use by the job itself and by other work with
+            reservations is not subtracted, everything else is.
+        future_capacity: Free capacity of later slots; by default it is assumed to stay as it is now.
     """
     request = PlacementRequest(view, now_ms, job, free, future_capacity)
     active = cost_curve.active_schedule(view, now_ms)
@@ -70,7 +70,7 @@
 def _is_current(
     reservation: ReservationRow, reserved: tuple[ReservedInterval, ...], active: ActiveScheduleRow | None, slot: int
 ) -> bool:
-    """Returns whether the reservation was made under the schedule that is active; without any, for running now."""
+    """Returns whether the reservation was made under the active schedule; if none is active, whether it runs now."""
     if active is None:
         return reservation.schedule_version == 0 and reserved[0].first_slot == slot
     return reservation.schedule_version == active.version
@@ -94,7 +94,7 @@
 
 
 def _horizon(request: PlacementRequest, active: ActiveScheduleRow, reserved: tuple[ReservedInterval, ...]) -> int:
-    """Returns how many slots are planned for: all zones count alike after the schedule's end."""
+    """Returns the number of slots to plan for, which is bounded because all zones cost the same after the schedule."""
     slots_of_schedule = active.until_ms // SLOT_MS - request.slot
     useful_slots = slots_of_schedule + 2 * request.slots_needed + request.min_run_slots
     slots_reserved = reserved[-1].end_slot - request.slot if reserved else 0
--- a/brookreach/carbon_aware/zone_preference.py
+++ b/brookreach/carbon_aware/zone_preference.py
@@ -1,9 +1,9 @@
-"""Zones that a marshal prefers for flexible methods, among nodes that are equally good. No I/O.
+"""Chooses the zones that a marshal prefers for flexible methods, among equally good nodes. Does no I/O.
 
-A marshal asks for calls in the next slot (`RequestFlexibleCalls`). The state machine grants them in the cleanest
-zones first, out of the quotas that operators set for all marshals together. What is granted is sent there; the
-rest goes by the usual shares. A zone never gets more than was granted beyond its usual share, and a zone without a
-usual share gets nothing: so drains, caps, cold budgets and halts hold.
+A marshal requests calls for the next slot (`RequestFlexibleCalls`). The state machine grants them in the cleanest
+zones first, from the quotas that operators set for all marshals together. Granted calls are sent to those zones; the
+rest is distributed by the usual shares. A zone never gets more than was granted beyond its usual share, and a zone
+without a usual share gets nothing, so drains, caps, cold budgets and halts stay in effect.
 """
 
 from __future__ import annotations
@@ -22,16 +22,17 @@
 )
 from brookreach.coordination.state_machine.application import View
 
-TOTAL_WEIGHT = 10_000  # what the weights of all zones add up to
-MIN_ADVANTAGE_PERMILLE = 20  # by which a zone has to be cleaner than the mean to be preferred
+TOTAL_WEIGHT = 10_000  # sum of the weights of all zones
+MIN_ADVANTAGE_PERMILLE = 20  # a zone is preferred only if it is cleaner than the mean by more than this
 
 
 def grant_calls(
     view: View, now_ms: int, holder: str, slot: int, calls_per_s: int, zones: Iterable[str]
 ) -> dict[str, int]:
-    """Returns how many of `calls_per_s` may go to which zone in a slot, the cleanest zones first.
+    """Returns how many of `calls_per_s` may go to each zone in a slot, the cleanest zones first.
 
-    What others have reserved there is left to them. Whether a schedule is active is looked at for the slot.
+    Calls that others have reserved in a zone stay theirs. For a later slot, the schedule has to be active at the
+    beginning of that slot.
     """
     curve = active_curve(view, max(now_ms, slot * SLOT_MS))
     known = sorted(zone for zone in zones if zone in curve.intervals)
@@ -50,7 +51,7 @@
 
 
 def _unreserved_calls(view: View, zone: str, slot: int, holder: str) -> int:
-    """Returns what of the zone's quota nobody but `holder` has reserved."""
+    """Returns the part of the zone's quota that no other holder has reserved."""
     quota = view.get(ZONE_QUOTAS, zone)
     total = view.get(SLOT_TOTALS, slot_totals_key(slot, zone))
     allowed: int = quota.calls_per_s if quota else 0
@@ -61,18 +62,20 @@
 def zone_weights(
     view: View, now_ms: int, holder: str, usual_shares: Mapping[str, int], calls_per_s: int
 ) -> dict[str, int]:
-    """Returns how to share flexible calls among zones, as weights that add up to `TOTAL_WEIGHT`.
+    """Returns the weights by which flexible calls are distributed among zones; they add up to `TOTAL_WEIGHT`.
+
+    If all usual shares are 0, all weights are 0.
 
     Args:
         view: The replicated state.
         now_ms: The agreed time.
         holder: The marshal's client name.
-        usual_shares: Whole numbers in proportion to what each zone gets without a schedule. A zone whose nodes the
-            marshal may not use has 0.
-        calls_per_s: The flexible calls that the marshal has to send.
+        usual_shares: Integers in proportion to the calls that each zone gets without a schedule. A zone whose nodes
+            the marshal may not use has 0.
+        calls_per_s: Flexible calls per second that the marshal has to send.
 
     Returns:
-        The usual shares where no schedule is active or nothing was granted.
+        Weights by zone; those of the usual shares if no schedule is active or nothing was granted.
     """
     preferred = _granted_weights(view, now_ms, holder, usual_shares, calls_per_s)
     return _add_usual_shares(preferred, usual_shares, TOTAL_WEIGHT - sum(preferred.values()))
@@ -99,7 +102,7 @@
 
 
 def _add_usual_shares(preferred: Mapping[str, int], usual_shares: Mapping[str, int], remaining: int) -> dict[str, int]:
-    """Adds `remaining` by the usual shares; what rounding down leaves goes to the greatest remainders."""
+    """Distributes `remaining` by the usual shares; units lost by rounding down go to the greatest remainders."""
     total_share = sum(usual_shares.values())
     zones = sorted(usual_shares)
     if total_share <= 0:
