--- a/brookreach/__main__.py
+++ b/brookreach/__main__.py
@@ -42,9 +42,9 @@
     try:
         runtime = BalancerRuntime(read_configuration(os.environ), lines)
         if record is not None:
-            from brookreach.verdict.keep import keep
+            from brookreach.verdict.record_writer import record_balancer
 
-            keeper = keep(runtime, record)
+            record_writer = record_balancer(runtime, record)
         if make_service is not None:
             runtime.background_services.append(make_service(runtime))
         runtime.before_exit = block_signals
@@ -52,7 +52,7 @@
         gc.set_threshold(runtime.limits.gc_threshold)
         anyio.run(runtime.run)
         if record is not None:
-            keeper.save()
+            record_writer.save()
     except StartupError as error:
         print(f"brookreach: {error}", file=sys.stderr)
         return 2
--- a/brookreach/cli/files.py
+++ b/brookreach/cli/files.py
@@ -16,7 +16,7 @@
 from brookreach.cli import plan_file
 from brookreach.files import MAX_CHECKSUMMED_BYTES, InvalidFileError, convert_values, read_bounded, read_toml
 from brookreach.settings_object import SettingsError
-from brookreach.verdict import notes
+from brookreach.verdict import wave_records
 
 Values = dict[str, Any]
 """A file's values by their keys; any: each kind of file has its own."""
@@ -24,7 +24,7 @@
 KindAndValues = tuple[str, Values]
 
 
-def read_waves(file: Path) -> list[notes.Wave]:
+def read_waves(file: Path) -> list[wave_records.Wave]:
     """Read a record of rollouts.
 
     Raises:
@@ -33,10 +33,10 @@
     return _decode_waves(file, read_bounded(file, MAX_CHECKSUMMED_BYTES))
 
 
-def _decode_waves(file: Path, data: bytes) -> list[notes.Wave]:
+def _decode_waves(file: Path, data: bytes) -> list[wave_records.Wave]:
     try:
-        return notes.decode(data)
-    except notes.RecordError as error:
+        return wave_records.decode(data)
+    except wave_records.RecordError as error:
         raise InvalidFileError([f"{file}: {error}"]) from None
 
 
@@ -53,7 +53,7 @@
                 return read(file, values)
         return _read_plan(file, values)
     data = read_bounded(file, MAX_CHECKSUMMED_BYTES)
-    if data.startswith(notes.MAGIC):
+    if data.startswith(wave_records.MAGIC):
         waves = _decode_waves(file, data)
         return "a record of waves", {
             "builds": [wave.build for wave in waves],
--- a/brookreach/cli/plan_file.py
+++ b/brookreach/cli/plan_file.py
@@ -29,7 +29,7 @@
 Effects = list[tuple[str, float]]
 """What each bad build does, and how much."""
 
-PlanInputs = tuple[ifc.BalancerSettings, plan.Seen, Effects]
+PlanInputs = tuple[ifc.BalancerSettings, plan.BaselineTraffic, Effects]
 """The settings of a balancer, what it sees, and the bad builds that are looked at."""
 
 
@@ -151,7 +151,7 @@
         raise InvalidFileError(errors)
     wave = values.wave
     start = _balancer_settings(values)
-    seen = plan.Seen(
+    seen = plan.BaselineTraffic(
         wave.rpcs_per_s,
         tuple(method.share for method in values.method),
         tuple(method.failures for method in values.method),
@@ -159,7 +159,7 @@
         wave.alike,
     )
     try:
-        plan.check(start, seen)
+        plan.validate(start, seen)
     except plan.PlanError as error:
         raise InvalidFileError([f"{file}: {error}"]) from None
     return start, seen, [(effect.what, effect.size) for effect in values.effect]
--- a/brookreach/cli/verdict.py
+++ b/brookreach/cli/verdict.py
@@ -12,7 +12,7 @@
 from brookreach.cli.main import print_result
 
 if TYPE_CHECKING:
-    from brookreach.verdict.notes import Wave
+    from brookreach.verdict.wave_records import Wave
 
 FILE_PATH = click.Path(path_type=Path, dir_okay=False)
 Result = TypeVar("Result")
@@ -48,10 +48,10 @@
 
     def make_plan() -> plans.Plan:
         start, seen, effects = plan_file.plan_inputs_from(file)
-        return plans.make(plans.restated(start, false_alarm, miss), seen, effects)
+        return plans.make_plan(plans.with_error_rates(start, false_alarm, miss), seen, effects)
 
     made = report_errors(make_plan)
-    print_result(as_json, made.told(), lambda: plans.table(made))
+    print_result(as_json, made.to_builtins(), lambda: plans.format_plan(made))
 
 
 def select_waves(file: Path, build: int | None) -> list[Wave]:
@@ -81,8 +81,8 @@
     replays = [replay.replay(wave) for wave in select_waves(file, build)]
     print_result(
         as_json,
-        {"builds": [replay.told(one) for one in replays]},
-        lambda: "\n\n".join(replay.show(one) for one in replays),
+        {"builds": [replay.to_builtins(one) for one in replays]},
+        lambda: "\n\n".join(replay.format_verdict(one) for one in replays),
     )
 
 
@@ -98,7 +98,7 @@
 
     pairs = []
     for wave in select_waves(file, build):
-        old = wave.start.stated
+        old = wave.settings.stated
         stated = ifc.ErrorRateTargets(
             old.false_alarm if false_alarm is None else false_alarm, old.miss if miss is None else miss
         )
@@ -106,11 +106,11 @@
 
     def lines() -> str:
         return "\n\n".join(
-            f"as it was:\n{replay.show(was)}\n\n"
+            f"as it was:\n{replay.format_verdict(was)}\n\n"
             f"with false alarm {stated.false_alarm:g}, miss {stated.miss:g}:\n"
-            f"{replay.show(now)}"
+            f"{replay.format_verdict(now)}"
             for was, now, stated in pairs
         )
 
-    builds = [{"was": replay.told(was), "now": replay.told(now)} for was, now, _ in pairs]
+    builds = [{"was": replay.to_builtins(was), "now": replay.to_builtins(now)} for was, now, _ in pairs]
     print_result(as_json, {"builds": builds}, lines)
--- a/brookreach/verdict/chain.py
+++ b/brookreach/verdict/markov_chain.py
@@ -17,25 +17,27 @@
 
 from brookreach.policy.cusum import MIN_BASELINE_OUTCOMES, failure_step, rank_score, speed_step
 
-Steps = Sequence[tuple[float, float]]
+StepDistribution = Sequence[tuple[float, float]]
 """(size, probability) of one outcome's step; the probabilities add up to 1."""
 
 
-class ChainError(ValueError):
+class InvalidChainError(ValueError):
     """Steps, a threshold or a horizon that no chart has."""
 
 
-def failure_steps(share: float, before: float, rise: float) -> list[tuple[float, float]]:
+def failure_step_distribution(share: float, before: float, rise: float) -> list[tuple[float, float]]:
     """The two steps of a failures chart where `share` of the outcomes fail."""
     if not 0.0 <= share <= 1.0:
-        raise ChainError(f"a share of failures of {share!r}: 0 to 1")
+        raise InvalidChainError(f"a share of failures of {share!r}: 0 to 1")
     return [(failure_step(True, before, rise), share), (failure_step(False, before, rise), 1.0 - share)]
 
 
-def speed_steps(work: float, spread: float, weight: float = 1.0, points: int = 41) -> list[tuple[float, float]]:
+def speed_step_distribution(
+    work: float, spread: float, weight: float = 1.0, points: int = 41
+) -> list[tuple[float, float]]:
     """The steps of a speed chart where the trial build takes `work` times as long; `spread`: of log times."""
     if not (work > 0.0 and spread > 0.0 and math.isfinite(work) and math.isfinite(spread)):
-        raise ChainError(f"work {work!r} and spread {spread!r}: finite and above 0")
+        raise InvalidChainError(f"work {work!r} and spread {spread!r}: finite and above 0")
     mean = math.log(work) / max(0.1, spread)
     scores = np.linspace(mean - 4.0, mean + 4.0, points)
     chances = np.exp(-0.5 * (scores - mean) ** 2)
@@ -47,22 +49,22 @@
 
 
 @dataclass(frozen=True)
-class Chain:
+class CusumChain:
     """One chart below `threshold` on `cells` levels; `grid` cells wide each."""
 
-    move: NDArray[np.float64]  # (cells, cells): chance of going from one level to another without crossing
-    cross: NDArray[np.float64]  # (cells,): chance of crossing from a level
+    transitions: NDArray[np.float64]  # (cells, cells): chance of going from one level to another without crossing
+    crossing: NDArray[np.float64]  # (cells,): chance of crossing from a level
 
     @classmethod
-    def of(cls, steps: Steps, threshold: float, cells: int = 240) -> Chain:
-        """Raises ChainError for what is no chart."""
+    def from_steps(cls, steps: StepDistribution, threshold: float, cells: int = 240) -> CusumChain:
+        """Raises InvalidChainError for what is no chart."""
         if not (threshold > 0.0 and math.isfinite(threshold)):
-            raise ChainError(f"a threshold of {threshold!r}: finite and above 0")
+            raise InvalidChainError(f"a threshold of {threshold!r}: finite and above 0")
         if not 8 <= cells <= 4000:
-            raise ChainError(f"{cells} cells: 8 to 4000")
+            raise InvalidChainError(f"{cells} cells: 8 to 4000")
         total = math.fsum(chance for _, chance in steps)
         if not steps or abs(total - 1.0) > 1e-6 or any(chance < 0.0 for _, chance in steps):
-            raise ChainError(f"steps whose chances add up to {total!r}: 1 is needed")
+            raise InvalidChainError(f"steps whose chances add up to {total!r}: 1 is needed")
         width = threshold / cells
         move, cross = np.zeros((cells, cells)), np.zeros(cells)
         rows = np.arange(cells)
@@ -77,25 +79,25 @@
                 np.add.at(move, (rows[inside], np.maximum(cell[inside], 0)), chance * part[inside])
         return cls(move, cross)
 
-    def crossed(self, outcomes: int) -> NDArray[np.float64]:
+    def crossing_probabilities(self, outcomes: int) -> NDArray[np.float64]:
         """The chance that it has crossed after 0, 1, ... `outcomes` from level 0."""
         if outcomes < 0:
-            raise ChainError(f"{outcomes} outcomes: 0 or more")
-        level = np.zeros(len(self.cross))
+            raise InvalidChainError(f"{outcomes} outcomes: 0 or more")
+        level = np.zeros(len(self.crossing))
         level[0] = 1.0
         out = np.zeros(outcomes + 1)
         for at in range(1, outcomes + 1):
-            out[at] = out[at - 1] + float(level @ self.cross)
-            level = level @ self.move
+            out[at] = out[at - 1] + float(level @ self.crossing)
+            level = level @ self.transitions
         return np.clip(out, 0.0, 1.0)
 
-    def run_length(self) -> float:
+    def average_run_length(self) -> float:
         """Expected outcomes to the crossing, from level 0."""
-        size = len(self.cross)
-        return float(np.linalg.solve(np.eye(size) - self.move, np.ones(size))[0])
+        size = len(self.crossing)
+        return float(np.linalg.solve(np.eye(size) - self.transitions, np.ones(size))[0])
 
 
-def mean_and_root(steps: Steps) -> tuple[float, float]:
+def mean_and_conjugate_root(steps: StepDistribution) -> tuple[float, float]:
     """The mean step, and the other root of E exp(root x step) = 1 (in the null 1, else -1)."""
     mean = math.fsum(size * chance for size, chance in steps)
     low, high = (1e-9, 50.0) if mean < 0.0 else (-50.0, -1e-9)
@@ -111,12 +113,12 @@
     return mean, 0.5 * (low + high)
 
 
-def siegmund(steps: Steps, threshold: float) -> float:
+def siegmund_average_run_length(steps: StepDistribution, threshold: float) -> float:
     """Expected outcomes to the crossing by Siegmund's corrected Brownian motion.
 
     That is (exp(-d b) - 1 + d b) / (d m): mean step m, drift d, threshold b widened at both ends.
     """
-    mean, root = mean_and_root(steps)
+    mean, root = mean_and_conjugate_root(steps)
     variance = math.fsum(size * size * chance for size, chance in steps) - mean * mean
     over = 0.583 * math.sqrt(max(0.0, variance))  # mean overshoot at either end
     reach = threshold + 2.0 * over
@@ -126,14 +128,16 @@
     return (math.exp(-drift * reach) - 1.0 + drift * reach) / (drift * mean)
 
 
-def sampled(steps: Steps, threshold: float, outcomes: int, waves: int, seed: int) -> tuple[float, float]:
+def importance_sampled_crossing(
+    steps: StepDistribution, threshold: float, outcomes: int, waves: int, seed: int
+) -> tuple[float, float]:
     """The chance of crossing within so many outcomes and its standard error, by importance sampling.
 
-    Rare crossings are drawn from steps tilted by the root of `mean_and_root`; each start from 0 restarts the
+    Rare crossings are drawn from steps tilted by the root of `mean_and_conjugate_root`; each start from 0 restarts the
     tilt, so the weight is taken over the last climb only, which is what makes rare alarms cheap to see.
     """
     chance = np.random.default_rng(seed)
-    mean, root = mean_and_root(steps)
+    mean, root = mean_and_conjugate_root(steps)
     sizes, plain = (np.array(part) for part in zip(*steps, strict=True))
     tilt = plain * np.exp(root * sizes) if mean < 0.0 and root > 0.0 else plain
     tilt = tilt / tilt.sum()
--- a/brookreach/verdict/plan.py
+++ b/brookreach/verdict/plan.py
@@ -1,8 +1,8 @@
 """The plan of a wave, before it: what its charts promise at the rates that its operators state.
 
-Facts come from `interface.Start`, what is seen from `Seen`; thresholds, rises and waits are read from a
+Facts come from `interface.Start`, what is seen from `BaselineTraffic`; thresholds, rises and waits are read from a
 `CanaryAnalysis` made of them, so that the plan speaks of the charts that decide. Error rates come from
-`brookreach.verdict.chain`; they are for the whole wave, over all marshals, methods and charts.
+`brookreach.verdict.markov_chain`; they are for the whole wave, over all marshals, methods and charts.
 """
 
 from __future__ import annotations
@@ -16,28 +16,42 @@
 from brookreach.policy.canary_analysis import CanaryAnalysis
 from brookreach.policy.common import WARM_UP_MS
 from brookreach.policy.cusum import FAILURE_RATE_INCREASE, MIN_BASELINE_RATE
-from brookreach.verdict.chain import Chain, failure_steps, mean_and_root, siegmund, speed_steps
-from brookreach.verdict.plan_records import Effect, Plan, PlanError, Seen, Stage, check, check_number
+from brookreach.verdict.markov_chain import (
+    CusumChain,
+    failure_step_distribution,
+    mean_and_conjugate_root,
+    siegmund_average_run_length,
+    speed_step_distribution,
+)
+from brookreach.verdict.plan_records import (
+    BaselineTraffic,
+    Plan,
+    PlanError,
+    PlannedEffect,
+    PlannedStage,
+    validate,
+    validate_number,
+)
 
-MOST_OUTCOMES = 20_000  # of one marshal in one wave, past which the chance of crossing is carried on evenly
-BOOT_MS = 2000.0  # a machine's start, as planned; what takes longer only delays
-RISES = (0.02, 0.03, 0.04, 0.05, 0.06, 0.08, 0.10, 0.12, 0.15, 0.20, 0.25, 0.30, 0.36, 0.45, 0.60, 0.80)
-WORKS = (1.2, 1.3, 1.4, 1.5, 1.6, 1.8, 2.0, 2.5, 3.0, 4.0)
+MAX_CHAIN_OUTCOMES = 20_000  # of one marshal in one wave, past which the chance of crossing is carried on evenly
+NODE_START_MS = 2000.0  # a machine's start, as planned; what takes longer only delays
+RATE_INCREASES = (0.02, 0.03, 0.04, 0.05, 0.06, 0.08, 0.10, 0.12, 0.15, 0.20, 0.25, 0.30, 0.36, 0.45, 0.60, 0.80)
+WORK_RATIOS = (1.2, 1.3, 1.4, 1.5, 1.6, 1.8, 2.0, 2.5, 3.0, 4.0)
 
 
-def judge_of(start: ifc.BalancerSettings, seen: Seen) -> CanaryAnalysis:
+def make_analysis(start: ifc.BalancerSettings, seen: BaselineTraffic) -> CanaryAnalysis:
     """The judge whose thresholds the wave will have."""
     judge = CanaryAnalysis(deque(), [], start)
     judge.set_thresholds(seen.rpcs_per_s)
     return judge
 
 
-def failing_threshold(judge: CanaryAnalysis, seen: Seen) -> float:
+def failures_threshold(judge: CanaryAnalysis, seen: BaselineTraffic) -> float:
     """Of the failures charts: they climb from a failure only, so they stand lower by the rate of failures."""
-    return judge.thresholds.local + math.log(max([MIN_BASELINE_RATE, *seen.failures]))
+    return judge.thresholds.local + math.log(max([MIN_BASELINE_RATE, *seen.failure_rates]))
 
 
-def stages_of(start: ifc.BalancerSettings, judge: CanaryAnalysis, seen: Seen) -> tuple[Stage, ...]:
+def plan_stages(start: ifc.BalancerSettings, judge: CanaryAnalysis, seen: BaselineTraffic) -> tuple[PlannedStage, ...]:
     """Stages of a build that earns no trust, so that each wait ends by its price.
 
     Where trust speaks strongly against a build the wait is doubled; nothing is promised from that.
@@ -45,15 +59,15 @@
     shares, out = start.rollout.stage_shares, []
     for at, share in enumerate(shares):
         opens = shares[min(at + 1, len(shares) - 1)]
-        least = BOOT_MS + WARM_UP_MS
+        least = NODE_START_MS + WARM_UP_MS
         last = at + 1 == len(shares)
         most = least + (1000.0 if last else judge.thresholds.promotion_wait_ms * opens)
         cap = start.exposure.caps[min(at, len(start.exposure.caps) - 1)] if start.exposure.caps else share
         gets = min(share, cap)
         # While the stage's machines start, the share of the stage before goes on.
         before = shares[at - 1] if at else 0.0
-        outcomes = seen.rpcs_per_s / 1000.0 * (gets * (most - BOOT_MS) + before * BOOT_MS)
-        out.append(Stage(share, least, most, outcomes))
+        outcomes = seen.rpcs_per_s / 1000.0 * (gets * (most - NODE_START_MS) + before * NODE_START_MS)
+        out.append(PlannedStage(share, least, most, outcomes))
     return tuple(out)
 
 
@@ -62,25 +76,31 @@
     count = math.ceil(outcomes)
     if count <= 0:
         return 0.0
-    played = min(count, MOST_OUTCOMES)
-    curve = Chain.of(steps, threshold, 160).crossed(played)
+    played = min(count, MAX_CHAIN_OUTCOMES)
+    curve = CusumChain.from_steps(steps, threshold, 160).crossing_probabilities(played)
     if played == count:
         return float(curve[-1])
     rate = float(curve[-1] - curve[played // 2]) / max(1e-300, 1.0 - float(curve[played // 2])) / (played - played // 2)
     return 1.0 - (1.0 - float(curve[-1])) * math.exp(-rate * (count - played))
 
 
-def false_alarm(start: ifc.BalancerSettings, judge: CanaryAnalysis, seen: Seen, outcomes: float) -> float:
+def false_alarm_probability(
+    start: ifc.BalancerSettings, judge: CanaryAnalysis, seen: BaselineTraffic, outcomes: float
+) -> float:
     """Of a whole wave of a build that is like the last, over all marshals, methods and charts."""
     kept = 1.0
-    overall = math.fsum(share * rate for share, rate in zip(seen.shares, seen.failures, strict=True))
-    streams = [(share, rate, FAILURE_RATE_INCREASE) for share, rate in zip(seen.shares, seen.failures, strict=True)]
+    overall = math.fsum(share * rate for share, rate in zip(seen.method_shares, seen.failure_rates, strict=True))
+    streams = [
+        (share, rate, FAILURE_RATE_INCREASE) for share, rate in zip(seen.method_shares, seen.failure_rates, strict=True)
+    ]
     streams.append((1.0, overall, judge.thresholds.overall_rate_increase))
-    weight, failing = (1.0 - seen.alike) ** 2, failing_threshold(judge, seen)
+    weight, failing = (1.0 - seen.node_correlation) ** 2, failures_threshold(judge, seen)
     for share, rate, rise in streams:
         own = outcomes * share
-        kept *= 1.0 - _crossed(failure_steps(rate, max(MIN_BASELINE_RATE, rate), rise), failing, own)
-        kept *= 1.0 - _crossed(speed_steps(1.0, seen.spread, weight), judge.thresholds.local, own)
+        kept *= 1.0 - _crossed(failure_step_distribution(rate, max(MIN_BASELINE_RATE, rate), rise), failing, own)
+        kept *= 1.0 - _crossed(
+            speed_step_distribution(1.0, seen.log_duration_spread, weight), judge.thresholds.local, own
+        )
     return 1.0 - kept**start.place.marshals
 
 
@@ -92,23 +112,23 @@
     return threshold / max(1e-12, kl)
 
 
-def effect_of(
-    start: ifc.BalancerSettings, judge: CanaryAnalysis, seen: Seen, outcomes: float, what: str, size: float
-) -> Effect:
+def evaluate_effect(
+    start: ifc.BalancerSettings, judge: CanaryAnalysis, seen: BaselineTraffic, outcomes: float, what: str, size: float
+) -> PlannedEffect:
     """`what` is "all", a method's name, or "work"; `size` more failures, or so many times the work."""
     names = [method.name for method in start.methods]
-    overall = math.fsum(s * r for s, r in zip(seen.shares, seen.failures, strict=True))
+    overall = math.fsum(s * r for s, r in zip(seen.method_shares, seen.failure_rates, strict=True))
     charts: list[tuple[list[tuple[float, float]], float]] = []  # steps, outcomes of one marshal
-    limit = judge.thresholds.local if what == "work" else failing_threshold(judge, seen)
+    limit = judge.thresholds.local if what == "work" else failures_threshold(judge, seen)
     if what == "work":
-        steps = speed_steps(size, seen.spread, (1.0 - seen.alike) ** 2)
+        steps = speed_step_distribution(size, seen.log_duration_spread, (1.0 - seen.node_correlation) ** 2)
         charts.append((steps, outcomes))
-        shift = math.log(size) / seen.spread
+        shift = math.log(size) / seen.log_duration_spread
         bound = limit / max(1e-12, 0.5 * shift * shift)
     elif what == "all":
         charts.append(
             (
-                failure_steps(
+                failure_step_distribution(
                     min(1.0, overall + size), max(MIN_BASELINE_RATE, overall), judge.thresholds.overall_rate_increase
                 ),
                 outcomes,
@@ -117,54 +137,61 @@
         bound = _bound(size, max(MIN_BASELINE_RATE, overall), limit)
     else:
         at = names.index(what)
-        rate, share = seen.failures[at], seen.shares[at]
+        rate, share = seen.failure_rates[at], seen.method_shares[at]
         charts.append(
             (
-                failure_steps(min(1.0, rate + size), max(MIN_BASELINE_RATE, rate), FAILURE_RATE_INCREASE),
+                failure_step_distribution(min(1.0, rate + size), max(MIN_BASELINE_RATE, rate), FAILURE_RATE_INCREASE),
                 outcomes * share,
             )
         )
         mixed = min(1.0, overall + share * size)
         charts.append(
-            (failure_steps(mixed, max(MIN_BASELINE_RATE, overall), judge.thresholds.overall_rate_increase), outcomes)
+            (
+                failure_step_distribution(
+                    mixed, max(MIN_BASELINE_RATE, overall), judge.thresholds.overall_rate_increase
+                ),
+                outcomes,
+            )
         )
         bound = _bound(size, max(MIN_BASELINE_RATE, rate), limit) / max(1e-9, share)
     alarm = max(_crossed(steps, limit, own) for steps, own in charts)
     # The best chart's own time, in outcomes of the marshal over all methods.
     needed = min(
-        siegmund(steps, limit) * outcomes / max(1e-9, own) if mean_and_root(steps)[0] > 0.0 else math.inf
+        siegmund_average_run_length(steps, limit) * outcomes / max(1e-9, own)
+        if mean_and_conjugate_root(steps)[0] > 0.0
+        else math.inf
         for steps, own in charts
     )
     miss = (1.0 - alarm) ** (start.place.marshals / max(1, start.voting.back_votes))
-    return Effect(what, size, miss, needed, bound, miss <= start.stated.miss)
+    return PlannedEffect(what, size, miss, needed, bound, miss <= start.stated.miss)
 
 
-def least_of(
-    start: ifc.BalancerSettings, judge: CanaryAnalysis, seen: Seen, outcomes: float, what: str
+def smallest_detected_size(
+    start: ifc.BalancerSettings, judge: CanaryAnalysis, seen: BaselineTraffic, outcomes: float, what: str
 ) -> float | None:
     """The least size of an effect that the wave tells apart at the stated miss; None where it tells none."""
-    for size in WORKS if what == "work" else RISES:
-        if effect_of(start, judge, seen, outcomes, what, size).seen:
+    for size in WORK_RATIOS if what == "work" else RATE_INCREASES:
+        if evaluate_effect(start, judge, seen, outcomes, what, size).seen:
             return size
     return None
 
 
-def make(start: ifc.BalancerSettings, seen: Seen, effects: Sequence[tuple[str, float]] = ()) -> Plan:
+def make_plan(start: ifc.BalancerSettings, seen: BaselineTraffic, effects: Sequence[tuple[str, float]] = ()) -> Plan:
     """The plan of a wave. Raises PlanError for facts that no wave can have."""
-    check(start, seen)
-    judge = judge_of(start, seen)
-    stages = stages_of(start, judge, seen)
+    validate(start, seen)
+    judge = make_analysis(start, seen)
+    stages = plan_stages(start, judge, seen)
     outcomes = math.fsum(stage.outcomes for stage in stages)
     names = [method.name for method in start.methods]
     known = [*names, "all", "work"]
     for what, size in effects:
         if what not in known:
             raise PlanError(f"effect {what!r}: one of {', '.join(known)} is allowed")
-        check_number(f"effect {what}", size, 0.0, 100.0 if what == "work" else 1.0, True)
-    least = {what: least_of(start, judge, seen, outcomes, what) for what in known}
+        validate_number(f"effect {what}", size, 0.0, 100.0 if what == "work" else 1.0, True)
+    least = {what: smallest_detected_size(start, judge, seen, outcomes, what) for what in known}
     wanted = list(effects) or [("all", 0.08), ("all", 0.20), *((name, 0.15) for name in names), ("work", 1.6)]
-    rows = tuple(effect_of(start, judge, seen, outcomes, what, size) for what, size in wanted)
-    alarm = false_alarm(start, judge, seen, outcomes)
+    rows = tuple(evaluate_effect(start, judge, seen, outcomes, what, size) for what, size in wanted)
+    alarm = false_alarm_probability(start, judge, seen, outcomes)
     charts = 2 * (len(names) + 1)
     # Wald's bound: a chance of exp(-threshold) a climb, over all charts and marshals. A failures chart's
     # climbs begin with a failure, a speed chart's with any outcome.
@@ -173,7 +200,7 @@
         start.stated,
         start.place.marshals,
         judge.thresholds.local,
-        failing_threshold(judge, seen),
+        failures_threshold(judge, seen),
         judge.thresholds.fleet,
         judge.thresholds.overall_rate_increase,
         judge.thresholds.promotion_confidence,
@@ -189,8 +216,8 @@
 def _limits(
     start: ifc.BalancerSettings,
     judge: CanaryAnalysis,
-    seen: Seen,
-    rows: Sequence[Effect],
+    seen: BaselineTraffic,
+    rows: Sequence[PlannedEffect],
     alarm: float,
     outcomes: float,
 ) -> list[str]:
@@ -218,7 +245,7 @@
     return out
 
 
-def restated(start: ifc.BalancerSettings, rate: float | None, miss: float | None) -> ifc.BalancerSettings:
+def with_error_rates(start: ifc.BalancerSettings, rate: float | None, miss: float | None) -> ifc.BalancerSettings:
     """The same facts under other stated rates."""
     old = start.stated
     return replace(
@@ -227,7 +254,7 @@
     )
 
 
-def table(plan: Plan) -> str:
+def format_plan(plan: Plan) -> str:
     """The plan as plain lines."""
     lines = [
         f"stated: false alarm {plan.stated.false_alarm:g}, miss {plan.stated.miss:g}, over {plan.marshals} "
--- a/brookreach/verdict/plan_records.py
+++ b/brookreach/verdict/plan_records.py
@@ -8,7 +8,9 @@
 
 from brookreach import interface as ifc
 
-MOST_MARSHALS, MOST_METHODS, MOST_STAGES = 100_000, 1000, 100
+MAX_BALANCERS = 100_000
+MAX_METHODS = 1000
+MAX_STAGES = 100
 
 
 class PlanError(ValueError):
@@ -16,18 +18,18 @@
 
 
 @dataclass(frozen=True)
-class Seen:
+class BaselineTraffic:
     """What a marshal sees of the earlier build before a wave."""
 
     rpcs_per_s: float  # of one marshal
-    shares: tuple[float, ...]  # of the methods, adding up to 1
-    failures: tuple[float, ...]  # of each method on the earlier build
-    spread: float = 0.6  # of log times
-    alike: float = 0.05  # how alike times of one node are
+    method_shares: tuple[float, ...]  # of the methods, adding up to 1
+    failure_rates: tuple[float, ...]  # of each method on the earlier build
+    log_duration_spread: float = 0.6  # of log times
+    node_correlation: float = 0.05  # how alike times of one node are
 
 
 @dataclass(frozen=True)
-class Stage:
+class PlannedStage:
     """One stage as planned: its share, its time, what one marshal sees of the build in it."""
 
     share: float
@@ -37,7 +39,7 @@
 
 
 @dataclass(frozen=True)
-class Effect:
+class PlannedEffect:
     """One way in which a build can be bad, and what becomes of it."""
 
     what: str
@@ -59,19 +61,19 @@
     tally_threshold: float
     rise: float
     trust: float
-    stages: tuple[Stage, ...]
+    stages: tuple[PlannedStage, ...]
     false_alarm: float
     false_alarm_bound: float
-    effects: tuple[Effect, ...]
+    effects: tuple[PlannedEffect, ...]
     least: dict[str, float | None]
     limits: tuple[str, ...]
 
-    def told(self) -> dict[str, Any]:
+    def to_builtins(self) -> dict[str, Any]:
         """As plain values, for JSON."""
         return asdict(self)
 
 
-def check_number(name: str, value: float, low: float, high: float, open_low: bool = False) -> None:
+def validate_number(name: str, value: float, low: float, high: float, open_low: bool = False) -> None:
     """Raises PlanError unless `value` lies from `low` to `high`; `open_low`: `low` itself is not allowed."""
     if (
         not (isinstance(value, int | float) and math.isfinite(value))
@@ -81,32 +83,32 @@
         raise PlanError(f"{name}: {value!r}; from {low:g}{' (not itself)' if open_low else ''} to {high:g} is allowed")
 
 
-def check(start: ifc.BalancerSettings, seen: Seen) -> None:
+def validate(start: ifc.BalancerSettings, seen: BaselineTraffic) -> None:
     """Raises PlanError at the first fact that no wave can have."""
-    if not 1 <= len(start.methods) <= MOST_METHODS:
-        raise PlanError(f"methods: {len(start.methods)}; 1 to {MOST_METHODS} are allowed")
-    check_number("marshals", start.place.marshals, 1, MOST_MARSHALS)
-    check_number("stated.false_alarm", start.stated.false_alarm, 0.0, 0.5, True)
-    check_number("stated.miss", start.stated.miss, 0.0, 0.5, True)
-    if not 1 <= len(start.rollout.stage_shares) <= MOST_STAGES:
-        raise PlanError(f"stage_shares: {len(start.rollout.stage_shares)}; 1 to {MOST_STAGES} are allowed")
+    if not 1 <= len(start.methods) <= MAX_METHODS:
+        raise PlanError(f"methods: {len(start.methods)}; 1 to {MAX_METHODS} are allowed")
+    validate_number("marshals", start.place.marshals, 1, MAX_BALANCERS)
+    validate_number("stated.false_alarm", start.stated.false_alarm, 0.0, 0.5, True)
+    validate_number("stated.miss", start.stated.miss, 0.0, 0.5, True)
+    if not 1 <= len(start.rollout.stage_shares) <= MAX_STAGES:
+        raise PlanError(f"stage_shares: {len(start.rollout.stage_shares)}; 1 to {MAX_STAGES} are allowed")
     for at, share in enumerate(start.rollout.stage_shares):
-        check_number(f"stage_shares[{at}]", share, 0.0, 1.0)
+        validate_number(f"stage_shares[{at}]", share, 0.0, 1.0)
     if sorted(start.rollout.stage_shares) != list(start.rollout.stage_shares):
         raise PlanError(f"stage_shares: {start.rollout.stage_shares}; no stage may hold less than the one before")
     if max(start.rollout.stage_shares) == 0.0:
         raise PlanError("stage_shares: all are 0; a build that nobody gets can't be judged")
     for at, cap in enumerate(start.exposure.caps):
-        check_number(f"caps[{at}]", cap, 0.0, 1.0)
-    check_number("prices.delay", start.prices.delay, 0.0, 1e6)
-    check_number("prices.harm", start.prices.harm, 0.0, 1e6)
-    check_number("rpcs_per_s", seen.rpcs_per_s, 0.0, 1e7, True)
-    check_number("spread", seen.spread, 0.0, 10.0, True)
-    check_number("alike", seen.alike, 0.0, 0.8)
-    for name, values in (("shares", seen.shares), ("failures", seen.failures)):
+        validate_number(f"caps[{at}]", cap, 0.0, 1.0)
+    validate_number("prices.delay", start.prices.delay, 0.0, 1e6)
+    validate_number("prices.harm", start.prices.harm, 0.0, 1e6)
+    validate_number("rpcs_per_s", seen.rpcs_per_s, 0.0, 1e7, True)
+    validate_number("spread", seen.log_duration_spread, 0.0, 10.0, True)
+    validate_number("alike", seen.node_correlation, 0.0, 0.8)
+    for name, values in (("shares", seen.method_shares), ("failures", seen.failure_rates)):
         if len(values) != len(start.methods):
             raise PlanError(f"{name}: {len(values)} values for {len(start.methods)} methods")
         for at, value in enumerate(values):
-            check_number(f"{name}[{at}]", value, 0.0, 1.0)
-    if abs(math.fsum(seen.shares) - 1.0) > 1e-3:
-        raise PlanError(f"shares: they add up to {math.fsum(seen.shares):.4g}; 1 is needed")
+            validate_number(f"{name}[{at}]", value, 0.0, 1.0)
+    if abs(math.fsum(seen.method_shares) - 1.0) > 1e-3:
+        raise PlanError(f"shares: they add up to {math.fsum(seen.method_shares):.4g}; 1 is needed")
--- a/brookreach/verdict/keep.py
+++ b/brookreach/verdict/record_writer.py
@@ -11,30 +11,30 @@
 
 from brookreach import interface as ifc
 from brookreach.files import replace_file
-from brookreach.verdict.notes import encode
-from brookreach.verdict.record import Recorder
+from brookreach.verdict.wave_recorder import Recorder
+from brookreach.verdict.wave_records import encode
 
 
-class Keeper:
+class RecordWriter:
     """Hears a marshal and writes its recorder's waves whenever a build's phase or stage changes."""
 
     def __init__(
         self,
         recorder: Recorder,
         path: Path,
-        say: Callable[[str, str], None],
+        log: Callable[[str, str], None],
         write: Callable[[Path, bytes], None] = replace_file,
     ):
-        self.recorder, self.path, self.say, self.write = recorder, path, say, write
-        self.stood: tuple[int, int, ifc.RolloutPhase] | None = None
+        self.recorder, self.path, self.log, self.write = recorder, path, log, write
+        self.last_state: tuple[int, int, ifc.RolloutPhase] | None = None
         self.failed = False
 
-    def hear(self, now: float, one: object) -> None:
-        self.recorder.hear(now, one)
+    def observe(self, now: float, one: object) -> None:
+        self.recorder.record(now, one)
         if isinstance(one, ifc.RolloutStatus) and one.ending == ifc.Outcome.OK:
             stands = one.build, one.stage, one.phase
-            if stands != self.stood:
-                self.stood = stands
+            if stands != self.last_state:
+                self.last_state = stands
                 self.save()
 
     def save(self) -> None:
@@ -44,19 +44,19 @@
             self.write(self.path, encode(list(self.recorder.waves)))
         except OSError as error:
             if not self.failed:
-                self.say("record", f"{self.path} can't be written: {error.strerror}; the marshal goes on")
+                self.log("record", f"{self.path} can't be written: {error.strerror}; the marshal goes on")
             self.failed = True
             return
         if self.failed:
-            self.say("record", f"{self.path} is written again")
+            self.log("record", f"{self.path} is written again")
         self.failed = False
 
 
-def keep(parts: Any, path: Path) -> Keeper:
+def record_balancer(parts: Any, path: Path) -> RecordWriter:
     """Watch the driver of `parts` (a `brookreach.net.runtime.BalancerRuntime`) from its next event on."""
     driver = parts.driver
-    keeper = Keeper(Recorder(driver.settings, parts.report.name), path, parts.report.log)
-    driver.observer = keeper.hear
+    keeper = RecordWriter(Recorder(driver.settings, parts.report.name), path, parts.report.log)
+    driver.observer = keeper.observe
     if driver.rollout_status is not None:
-        keeper.hear(driver.clock.now_ms(), driver.rollout_status)
+        keeper.observe(driver.clock.now_ms(), driver.rollout_status)
     return keeper
--- a/brookreach/verdict/replay.py
+++ b/brookreach/verdict/replay.py
@@ -14,11 +14,11 @@
 from brookreach import interface as ifc
 from brookreach.policy.canary_analysis import CanaryAnalysis
 from brookreach.policy.common import NEVER_EXECUTED
-from brookreach.verdict.notes import Note, Wave
+from brookreach.verdict.wave_records import Note, Wave
 
 
 @dataclass(frozen=True)
-class Point:
+class LevelSample:
     """A chart's level at a time, in ms after the offer."""
 
     at_ms: float
@@ -26,7 +26,7 @@
 
 
 @dataclass
-class Side:
+class OutcomeSummary:
     """Outcomes of one build by method, and which nodes gave them."""
 
     count: int = 0
@@ -38,7 +38,7 @@
 
 
 @dataclass
-class Verdict:
+class ReplayedVerdict:
     """What a replay found of one build: all that a person needs to see why."""
 
     build: int
@@ -48,67 +48,67 @@
     crossed: str
     crossed_ms: float | None
     threshold: float
-    levels: dict[str, list[Point]]
+    levels: dict[str, list[LevelSample]]
     trust: dict[str, float]
-    trial: dict[str, Side]
-    earlier: dict[str, Side]
-    nodes: dict[int, Side]
+    trial: dict[str, OutcomeSummary]
+    earlier: dict[str, OutcomeSummary]
+    nodes: dict[int, OutcomeSummary]
 
 
 def _play(judge: CanaryAnalysis, wave: Wave, note: Note, entry: ifc.NodeEntry | None) -> None:
     match note.what:
         case "L":
-            judge.update_nodes([wave.entries[index] for index in note.nodes])
-        case "N" if note.news is not None:
-            judge.update_rollout(note.now, note.news)
+            judge.update_nodes([wave.entries[index] for index in note.entry_indices])
+        case "N" if note.status is not None:
+            judge.update_rollout(note.time_ms, note.status)
         case "R":
-            judge.handle_vote_reply(note.now, ifc.Outcome(note.ending))
-        case "T" if note.tally is not None:
-            judge.record_counts(note.now, note.tally)
+            judge.handle_vote_reply(note.time_ms, ifc.Outcome(note.outcome))
+        case "T" if note.counts is not None:
+            judge.record_counts(note.time_ms, note.counts)
         case "D":
-            judge.evaluate(note.now)
+            judge.evaluate(note.time_ms)
         case "O" if entry is not None and judge.baselines:
             judge.record_outcome(
-                note.now,
+                note.time_ms,
                 entry,
                 note.method,
-                note.sent,
-                ifc.Outcome(note.ending),
-                note.took,
-                note.unit,
-                note.flow,
+                note.sent_ms,
+                ifc.Outcome(note.outcome),
+                note.duration_ms,
+                note.cost,
+                note.rpcs_per_s,
             )
 
 
 def chart_name(wave: Wave, key: tuple[int, str]) -> str:
     method, stream = key
-    return f"{'all' if method < 0 else wave.start.methods[method].name} {stream}"
+    return f"{'all' if method < 0 else wave.settings.methods[method].name} {stream}"
 
 
-def replay(wave: Wave, stated: ifc.ErrorRateTargets | None = None) -> Verdict:
+def replay(wave: Wave, stated: ifc.ErrorRateTargets | None = None) -> ReplayedVerdict:
     """Judge a record again, under its own stated rates or others. News stay as they came."""
-    start = replace(wave.start, stated=stated) if stated else wave.start
+    start = replace(wave.settings, stated=stated) if stated else wave.settings
     acts: list[ifc.Action] = []
     judge = CanaryAnalysis(deque(), acts, start)
-    offered = next((note.now for note in wave.notes if note.news and note.news.build == wave.build), 0.0)
-    found = Verdict(wave.build, wave.name, offered, [], "", None, 0.0, {}, {}, {}, {}, {})
+    offered = next((note.time_ms for note in wave.notes if note.status and note.status.build == wave.build), 0.0)
+    found = ReplayedVerdict(wave.build, wave.name, offered, [], "", None, 0.0, {}, {}, {}, {}, {})
     names = [method.name for method in start.methods]
     for note in wave.notes:
-        entry = wave.entries[note.nodes[0]] if note.what == "O" else None
+        entry = wave.entries[note.entry_indices[0]] if note.what == "O" else None
         old = {key: chart.level for key, chart in judge.charts.items()}
         _play(judge, wave, note, entry)
-        if entry is not None and note.ending not in NEVER_EXECUTED:
+        if entry is not None and note.outcome not in NEVER_EXECUTED:
             _count(found, wave, note, entry, names[note.method], start)
         if judge.status is not None and judge.status.build == wave.build:
             for key, chart in judge.charts.items():
                 if chart.level != old.get(key):
                     levels = found.levels.setdefault(chart_name(wave, key), [])
-                    levels.append(Point(note.now - offered, chart.level))
+                    levels.append(LevelSample(note.time_ms - offered, chart.level))
         for act in acts:
             if isinstance(act, ifc.Vote) and act.build == wave.build:
-                found.voted.append((note.now - offered, f"{act.verdict.name} stage {act.stage}"))
+                found.voted.append((note.time_ms - offered, f"{act.verdict.name} stage {act.stage}"))
             elif isinstance(act, ifc.LogLine) and act.text.startswith(f"back {wave.build}:") and not found.crossed:
-                found.crossed, found.crossed_ms = act.text, note.now - offered
+                found.crossed, found.crossed_ms = act.text, note.time_ms - offered
         acts.clear()
     found.threshold = judge.thresholds.local
     found.trust = {chart_name(wave, key): chart.cumulative_sum for key, chart in judge.charts.items()}
@@ -116,19 +116,19 @@
 
 
 def _count(
-    found: Verdict, wave: Wave, note: Note, entry: ifc.NodeEntry, name: str, start: ifc.BalancerSettings
+    found: ReplayedVerdict, wave: Wave, note: Note, entry: ifc.NodeEntry, name: str, start: ifc.BalancerSettings
 ) -> None:
-    failed = note.ending != ifc.Outcome.OK or note.took > start.methods[note.method].soft_ms
+    failed = note.outcome != ifc.Outcome.OK or note.duration_ms > start.methods[note.method].soft_ms
     trial = entry.build == wave.build
-    sides = [(found.trial if trial else found.earlier).setdefault(name, Side())]
+    sides = [(found.trial if trial else found.earlier).setdefault(name, OutcomeSummary())]
     if trial:
-        sides.append(found.nodes.setdefault(entry.node, Side()))
+        sides.append(found.nodes.setdefault(entry.node, OutcomeSummary()))
     for side in sides:
         side.count, side.failed = side.count + 1, side.failed + failed
-        side.total_ms += note.took
+        side.total_ms += note.duration_ms
 
 
-def show(found: Verdict, most_votes: int = 12) -> str:
+def format_verdict(found: ReplayedVerdict, most_votes: int = 12) -> str:
     """A verdict as lines for people."""
     lines = [
         f"build {found.build} as {found.marshal} judged it, times from its offer",
@@ -142,7 +142,7 @@
         f"{'method':14} {'earlier':>8} {'failed':>7} {'mean ms':>8} | {'trial':>6} {'failed':>7} {'mean ms':>8}"
     )
     for name in sorted({*found.earlier, *found.trial}):
-        old, new = found.earlier.get(name, Side()), found.trial.get(name, Side())
+        old, new = found.earlier.get(name, OutcomeSummary()), found.trial.get(name, OutcomeSummary())
         lines.append(
             f"{name:14} {old.count:8} {old.rate():7.3f} {old.total_ms / max(1, old.count):8.0f} | "
             f"{new.count:6} {new.rate():7.3f} {new.total_ms / max(1, new.count):8.0f}"
@@ -170,6 +170,6 @@
     return "\n".join(lines)
 
 
-def told(found: Verdict) -> dict[str, Any]:
+def to_builtins(found: ReplayedVerdict) -> dict[str, Any]:
     """A verdict as plain values, for JSON."""
     return msgspec.to_builtins(found)  # type: ignore[no-any-return]
--- a/brookreach/verdict/notes.py
+++ b/brookreach/verdict/wave_records.py
@@ -25,17 +25,17 @@
     are those of `CanaryAnalysis.record_outcome`.
     """
 
-    now: float
+    time_ms: float
     what: str
-    nodes: tuple[int, ...] = ()
-    news: ifc.RolloutStatus | None = None
-    tally: ifc.OutcomeCounts | None = None
+    entry_indices: tuple[int, ...] = ()
+    status: ifc.RolloutStatus | None = None
+    counts: ifc.OutcomeCounts | None = None
     method: int = -1
-    sent: float = 0.0
-    ending: int = 0
-    took: float = 0.0
-    unit: float = 1.0
-    flow: float = 0.0
+    sent_ms: float = 0.0
+    outcome: int = 0
+    duration_ms: float = 0.0
+    cost: float = 1.0
+    rpcs_per_s: float = 0.0
     text: str = ""
 
 
@@ -44,10 +44,10 @@
 
     name: str
     build: int
-    start: ifc.BalancerSettings
+    settings: ifc.BalancerSettings = msgspec.field(name="start")
     entries: list[ifc.NodeEntry]
     notes: list[Note]
-    left_out: int = 0  # notes past the bound
+    omitted_notes: int = msgspec.field(default=0, name="left_out")  # notes past the bound
 
 
 def encode(waves: list[Wave]) -> bytes:
@@ -68,18 +68,18 @@
     for at, note in enumerate(wave.notes):
         if note.what not in "LNRTODVC" or len(note.what) != 1:
             raise RecordError(f"note {at} of build {wave.build}: {note.what!r} is no kind of note")
-        if any(not 0 <= index < len(wave.entries) for index in note.nodes):
+        if any(not 0 <= index < len(wave.entries) for index in note.entry_indices):
             raise RecordError(f"note {at} of build {wave.build}: a node that is not among its entries")
-        if not note.now >= last:
-            raise RecordError(f"note {at} of build {wave.build}: it stands at {note.now}, after {last}")
-        if note.what == "O" and not (len(note.nodes) == 1 and 0 <= note.method < len(wave.start.methods)):
+        if not note.time_ms >= last:
+            raise RecordError(f"note {at} of build {wave.build}: it stands at {note.time_ms}, after {last}")
+        if note.what == "O" and not (len(note.entry_indices) == 1 and 0 <= note.method < len(wave.settings.methods)):
             raise RecordError(f"note {at} of build {wave.build}: method {note.method}")
-        if note.what in "OR" and note.ending not in list(ifc.Outcome):
-            raise RecordError(f"note {at} of build {wave.build}: ending {note.ending}")
-        if (note.what == "N" and note.news is None) or (note.what == "T" and note.tally is None):
+        if note.what in "OR" and note.outcome not in list(ifc.Outcome):
+            raise RecordError(f"note {at} of build {wave.build}: ending {note.outcome}")
+        if (note.what == "N" and note.status is None) or (note.what == "T" and note.counts is None):
             raise RecordError(f"note {at} of build {wave.build}: {note.what} without its news or tally")
-        if note.what == "N" and note.news and not 0 <= note.news.stage < len(wave.start.rollout.stage_shares):
-            raise RecordError(f"note {at} of build {wave.build}: stage {note.news.stage}")
-        if note.what == "T" and note.tally and not 0 <= note.tally.method < len(wave.start.methods):
-            raise RecordError(f"note {at} of build {wave.build}: method {note.tally.method} of a tally")
-        last = note.now
+        if note.what == "N" and note.status and not 0 <= note.status.stage < len(wave.settings.rollout.stage_shares):
+            raise RecordError(f"note {at} of build {wave.build}: stage {note.status.stage}")
+        if note.what == "T" and note.counts and not 0 <= note.counts.method < len(wave.settings.methods):
+            raise RecordError(f"note {at} of build {wave.build}: method {note.counts.method} of a tally")
+        last = note.time_ms
--- a/tests/compatibility/text_under_test.py
+++ b/tests/compatibility/text_under_test.py
@@ -23,7 +23,7 @@
 from brookreach.coordination.state_machine import sessions
 from brookreach.coordination.state_machine.machine import StateMachine as StateMachine
 from brookreach.coordination.storage import memory, sqlite
-from brookreach.verdict import notes as wave_records
+from brookreach.verdict import wave_records
 from brookreach.xds import store as service_store
 
 __all__ = ["StateMachine", "configuration_files", "service_store", "wave_records"]
