--- a/brookreach/cli/drill.py
+++ b/brookreach/cli/drill.py
@@ -11,7 +11,7 @@
 from brookreach.cli.main import print_result, progress_printer
 
 DRILLS = {
-    "verdict": "brookreach.simulation.verdict",
+    "verdict": "brookreach.simulation.verdict.drill",
     "xds": "brookreach.simulation.xds.drill",
     "fleet": "brookreach.simulation.coordination.drill",
     "mutation": "brookreach.simulation.mutation.drill",
--- a/tests/test_verdict_commands.py
+++ b/tests/test_verdict_commands.py
@@ -18,7 +18,7 @@
 from brookreach.model.case import CASES, Fault
 from brookreach.model.world import Wave
 from brookreach.policy import canary_charts
-from brookreach.simulation import verdict as drill
+from brookreach.simulation.verdict import drill
 from brookreach.verdict import wave_records
 from tests.verdict_rig import played
 
