--- a/brookreach/verdict/wave_recorder.py
+++ b/brookreach/verdict/wave_recorder.py
@@ -1,8 +1,8 @@
-"""What one marshal's judge heard of each build, kept in a bounded ring.
+"""Records what one balancer's canary analysis received of each build, in bounded memory.
 
-A `Recorder` hears the events and actions at a marshal's boundary and derives from them the notes that its
-judge got. It decides nothing and owns no file or clock. A record is self-contained: facts, notes in order,
-what was voted. So it can be judged again under other stated rates (`brookreach.verdict.replay`).
+A `Recorder` gets the events and actions at a balancer's interface and derives from them the notes that its canary
+analysis would replay. It decides nothing and has neither file nor clock. A record is self-contained: settings, notes
+in order, votes. So it can be analysed again at other error rates (`brookreach.verdict.replay`).
 """
 
 from __future__ import annotations
@@ -14,73 +14,103 @@
 
 from brookreach import interface as ifc
 from brookreach.policy.sliding_window import SlidingWindowSum
-from brookreach.policy.timer_tokens import EVALUATION_TIMER
+from brookreach.policy.timer_tokens import EVALUATION_TIMER, TIMER_KINDS
 from brookreach.verdict.wave_records import Note, Wave
 
-MAX_BUILDS, MAX_NOTES, MAX_LEAD_NOTES = 8, 60_000, 4000
+MAX_BUILDS = 8  # the last ones are kept
+MAX_NOTES = 60_000  # of one build; later ones are only counted
+MAX_LEAD_NOTES = 4000  # from before a build was offered
+RATE_WINDOW_MS = 1000.0
+RATE_WINDOW_BUCKETS = 10
+MAX_ENTRIES = 4096  # with more, entries that are not referred to are dropped at the next build
+MAX_USED_ENTRIES = 2048  # unless as many are still referred to
+REJECTION_PREFIX = "back "  # of the log line that names the chart that crossed
 
 
 @dataclass
 class PickInFlight:
-    """A pick under way, as the recorder keeps it."""
+    """A pick that has not ended.
+
+    Attributes:
+        entry_index: The node's entry, as an index into `Recorder.entries`.
+        sent_ms: When it was sent.
+    """
 
     entry_index: int
     sent_ms: float
 
 
 class Recorder:
-    """Hears `(now, event or action)` of one marshal's life, in order; `waves` are its last builds."""
+    """Makes the records of a balancer's last builds from its events and actions.
+
+    Attributes:
+        settings: The balancer's settings.
+        name: The balancer's name.
+        max_notes: How many notes a record holds.
+        waves: The records, one a build.
+        lead_notes: The last notes: they open the next build's record, as what led up to it.
+        latest_state: The newest rollout status and node list, should `lead_notes` have lost them.
+        entries: Node entries that notes refer to by index.
+        entry_indices: The index of each of them.
+        entry_by_node: The entry of each node listed now.
+        rpcs: By RPC: its method and its stated cost (ms).
+        picks: By RPC: its picks; None for one that has ended or went to a node that is not listed.
+        rpc_arrivals: RPCs received within the last second.
+        build: The newest build that a rollout status named.
+    """
 
     def __init__(
         self,
-        start: ifc.BalancerSettings,
+        settings: ifc.BalancerSettings,
         name: str = "marshal",
         max_builds: int = MAX_BUILDS,
         max_notes: int = MAX_NOTES,
     ):
-        self.settings, self.name, self.max_notes = start, name, max_notes
+        self.settings = settings
+        self.name = name
+        self.max_notes = max_notes
         self.waves: deque[Wave] = deque(maxlen=max_builds)
         self.lead_notes: deque[Note] = deque(maxlen=MAX_LEAD_NOTES)
-        self.latest_state: list[Note] = []  # the newest news and list, should `lead_notes` have lost them
+        self.latest_state: list[Note] = []
         self.entries: list[ifc.NodeEntry] = []
         self.entry_indices: dict[ifc.NodeEntry, int] = {}
         self.entry_by_node: dict[int, ifc.NodeEntry] = {}
         self.rpcs: dict[int, tuple[int, float | None]] = {}
         self.picks: dict[int, list[PickInFlight | None]] = {}
-        self.rpc_arrivals = SlidingWindowSum(1000.0, 10)
+        self.rpc_arrivals = SlidingWindowSum(RATE_WINDOW_MS, RATE_WINDOW_BUCKETS)
         self.build: int | None = None
 
-    def record(self, now: float, one: object) -> None:
-        match one:
-            case ifc.RpcReceived():
-                self.rpc_arrivals.add(now)
-                self.rpcs[one.rpc_id] = one.method, one.cost_ms
-            case ifc.Pick():
-                entry = self.entry_by_node.get(one.node)
-                self.picks.setdefault(one.rpc_id, []).append(
-                    None if entry is None else PickInFlight(self._index(entry), now)
-                )
-            case ifc.PickEnded():
-                self._ended(now, one)
+    def record(self, now: float, message: object) -> None:
+        """Record one event or action at `now` (ms); they come in order, and other kinds are ignored."""
+        match message:
+            case ifc.RpcReceived() | ifc.Pick() | ifc.PickEnded():
+                self._record_pick(now, message)
             case ifc.RpcCancelled() | ifc.PushBack() | ifc.Abort():
-                self._forget(one.rpc_id)
+                self._forget_if_idle(message.rpc_id)
             case ifc.NodeList():
-                self._listed(now, one)
+                self._record_node_list(now, message)
             case ifc.OutcomeCounts():
-                self._note(Note(now, "T", counts=one))
-            case ifc.TimerFired() if one.token % 4 == EVALUATION_TIMER:
-                self._note(Note(now, "D"))
+                self._add_note(Note(now, "T", counts=message))
+            case ifc.TimerFired() if message.token % TIMER_KINDS == EVALUATION_TIMER:
+                self._add_note(Note(now, "D"))
             case ifc.RolloutStatus():
-                if one.reply:
-                    self._note(Note(now, "R", outcome=int(one.ending)))
-                if one.ending == ifc.Outcome.OK:
-                    self._told(now, one)
+                self._record_status(now, message)
             case ifc.Vote():
-                self._note(Note(now, "V", text=f"{one.verdict.name} {one.build} {one.stage}"))
-            case ifc.LogLine() if one.text.startswith("back "):
-                self._note(Note(now, "C", text=one.text))
-            case _:
-                pass
+                self._add_note(Note(now, "V", text=f"{message.verdict.name} {message.build} {message.stage}"))
+            case ifc.LogLine() if message.text.startswith(REJECTION_PREFIX):
+                self._add_note(Note(now, "C", text=message.text))
+
+    def _record_pick(self, now: float, message: ifc.RpcReceived | ifc.Pick | ifc.PickEnded) -> None:
+        match message:
+            case ifc.RpcReceived():
+                self.rpc_arrivals.add(now)
+                self.rpcs[message.rpc_id] = message.method, message.cost_ms
+            case ifc.Pick():
+                entry = self.entry_by_node.get(message.node)
+                pick = None if entry is None else PickInFlight(self._index(entry), now)
+                self.picks.setdefault(message.rpc_id, []).append(pick)
+            case ifc.PickEnded():
+                self._record_outcome(now, message)
 
     def _index(self, entry: ifc.NodeEntry) -> int:
         if entry not in self.entry_indices:
@@ -88,90 +118,89 @@
             self.entries.append(entry)
         return self.entry_indices[entry]
 
-    def _forget(self, rpc: int) -> None:
-        """No more picks come; those under way still end."""
-        if all(out is None for out in self.picks.get(rpc, [])):
-            self.rpcs.pop(rpc, None)
-            self.picks.pop(rpc, None)
+    def _forget_if_idle(self, rpc_id: int) -> None:
+        """Forget an RPC that gets no more picks, unless some are still in flight: these end later."""
+        if all(pick is None for pick in self.picks.get(rpc_id, [])):
+            self.rpcs.pop(rpc_id, None)
+            self.picks.pop(rpc_id, None)
 
-    def _ended(self, now: float, one: ifc.PickEnded) -> None:
-        outs = self.picks.get(one.rpc_id, [])
-        if one.pick_index >= len(outs) or (out := outs[one.pick_index]) is None or one.rpc_id not in self.rpcs:
+    def _record_outcome(self, now: float, event: ifc.PickEnded) -> None:
+        picks = self.picks.get(event.rpc_id, [])
+        if event.pick_index >= len(picks):
+            return
+        pick = picks[event.pick_index]
+        if pick is None or event.rpc_id not in self.rpcs:
             return
-        outs[one.pick_index] = None
-        method, cost = self.rpcs[one.rpc_id]
-        self._note(
+        picks[event.pick_index] = None
+        method, cost_ms = self.rpcs[event.rpc_id]
+        self._add_note(
             Note(
                 now,
                 "O",
-                (out.entry_index,),
+                (pick.entry_index,),
                 method=method,
-                sent_ms=out.sent_ms,
-                outcome=int(one.outcome),
-                duration_ms=one.duration_ms,
-                cost=cost or 1.0,
+                sent_ms=pick.sent_ms,
+                outcome=int(event.outcome),
+                duration_ms=event.duration_ms,
+                cost_ms=cost_ms or 1.0,
                 rpcs_per_s=self.rpc_arrivals.total(now),
             )
         )
-        if one.is_final:
-            self._forget(one.rpc_id)
+        if event.is_final:
+            self._forget_if_idle(event.rpc_id)
 
-    def _listed(self, now: float, one: ifc.NodeList) -> None:
-        if one.kind in (ifc.ListKind.FULL, ifc.ListKind.CACHED):
+    def _record_node_list(self, now: float, event: ifc.NodeList) -> None:
+        if event.kind in (ifc.ListKind.FULL, ifc.ListKind.CACHED):
             self.entry_by_node = {}
-        self.entry_by_node |= {entry.node: entry for entry in one.entries}
-        self.entry_by_node = {n: entry for n, entry in self.entry_by_node.items() if entry.state != ifc.NodeState.GONE}
+        self.entry_by_node |= {entry.node: entry for entry in event.entries}
+        self.entry_by_node = {
+            node: entry for node, entry in self.entry_by_node.items() if entry.state != ifc.NodeState.GONE
+        }
         ready = tuple(self._index(entry) for entry in self.entry_by_node.values() if entry.state == ifc.NodeState.READY)
-        self._note(Note(now, "L", ready))
-
-    def _told(self, now: float, news: ifc.RolloutStatus) -> None:
-        if news.build != self.build:
-            if self.build is not None:  # what led up to it is part of it
-                self._compact()
-                kept = [
-                    note
-                    for note in self.latest_state
-                    if not self.lead_notes or note.time_ms < self.lead_notes[0].time_ms
-                ]
-                self.waves.append(
-                    Wave(
-                        self.name,
-                        news.build,
-                        self.settings,
-                        list(self.entries),
-                        sorted([*kept, *self.lead_notes], key=lambda note: note.time_ms),
-                    )
-                )
-            self.build = news.build
-        self._note(Note(now, "N", status=news))
-
-    def _compact(self) -> None:
-        """Entries are numbered anew for the next wave, so that weeks of machines don't pile up."""
-        if len(self.entries) > 4096:
-            used = {index for note in (*self.lead_notes, *self.latest_state) for index in note.entry_indices}
-            used |= {out.entry_index for outs in self.picks.values() for out in outs if out is not None}
-            if len(used) < 2048:
-                order = sorted(used)
-                new = {old: at for at, old in enumerate(order)}
-                self.entries = [self.entries[old] for old in order]
-                self.entry_indices = {entry: at for at, entry in enumerate(self.entries)}
-                move = [
-                    msgspec.structs.replace(n, entry_indices=tuple(new[i] for i in n.entry_indices))
-                    for n in self.lead_notes
-                ]
-                self.lead_notes = deque(move, maxlen=MAX_LEAD_NOTES)
-                self.latest_state = [
-                    msgspec.structs.replace(n, entry_indices=tuple(new[i] for i in n.entry_indices))
-                    for n in self.latest_state
-                ]
-                for outs in self.picks.values():
-                    for out in outs:
-                        if out is not None:
-                            out.entry_index = new[out.entry_index]
-
-    def _note(self, note: Note) -> None:
+        self._add_note(Note(now, "L", ready))
+
+    def _record_status(self, now: float, status: ifc.RolloutStatus) -> None:
+        if status.reply:
+            self._add_note(Note(now, "R", outcome=int(status.ending)))
+        if status.ending != ifc.Outcome.OK:
+            return
+        if status.build != self.build:
+            # The first build that is heard of is the baseline: it has no record.
+            if self.build is not None:
+                self._open_record(status.build)
+            self.build = status.build
+        self._add_note(Note(now, "N", status=status))
+
+    def _open_record(self, build: int) -> None:
+        """Open the record of a new build with the notes that led up to it."""
+        self._drop_unused_entries()
+        lead = self.lead_notes
+        lost = [note for note in self.latest_state if not lead or note.time_ms < lead[0].time_ms]
+        notes = sorted([*lost, *lead], key=lambda note: note.time_ms)
+        self.waves.append(Wave(self.name, build, self.settings, list(self.entries), notes))
+
+    def _drop_unused_entries(self) -> None:
+        """Renumber the entries that are referred to, so that those of weeks of machines don't pile up."""
+        if len(self.entries) <= MAX_ENTRIES:
+            return
+        in_flight = [pick for picks in self.picks.values() for pick in picks if pick is not None]
+        used = {index for note in (*self.lead_notes, *self.latest_state) for index in note.entry_indices}
+        used |= {pick.entry_index for pick in in_flight}
+        if len(used) >= MAX_USED_ENTRIES:
+            return
+        kept = sorted(used)
+        new_indices = {old: new for new, old in enumerate(kept)}
+        self.entries = [self.entries[old] for old in kept]
+        self.entry_indices = {entry: index for index, entry in enumerate(self.entries)}
+        renumbered = [_renumber(note, new_indices) for note in self.lead_notes]
+        self.lead_notes = deque(renumbered, maxlen=MAX_LEAD_NOTES)
+        self.latest_state = [_renumber(note, new_indices) for note in self.latest_state]
+        for pick in in_flight:
+            pick.entry_index = new_indices[pick.entry_index]
+
+    def _add_note(self, note: Note) -> None:
         if note.what in "LN":
-            self.latest_state = [one for one in self.latest_state if one.what != note.what] + [note]
+            self.latest_state = [*(other for other in self.latest_state if other.what != note.what), note]
         self.lead_notes.append(note)
         if self.waves and self.waves[-1].build == self.build:
             wave = self.waves[-1]
@@ -180,3 +209,7 @@
                 return
             wave.entries.extend(self.entries[len(wave.entries) :])
             wave.notes.append(note)
+
+
+def _renumber(note: Note, new_indices: dict[int, int]) -> Note:
+    return msgspec.structs.replace(note, entry_indices=tuple(new_indices[index] for index in note.entry_indices))
--- a/brookreach/verdict/wave_records.py
+++ b/brookreach/verdict/wave_records.py
@@ -34,7 +34,7 @@
         sent_ms: Of an O, when the pick was sent.
         outcome: Of an O, how the pick ended; of an R, the reply; the number of an `Outcome`.
         duration_ms: Of an O.
-        cost: Of an O, the stated cost of the RPC (ms), or 1 where none is stated.
+        cost_ms: Of an O, the stated cost of the RPC (ms), or 1 where none is stated.
         rpcs_per_s: Of an O, the rate of RPCs that the balancer received.
         text: Of a V or a C.
     """
@@ -48,7 +48,7 @@
     sent_ms: float = 0.0
     outcome: int = 0
     duration_ms: float = 0.0
-    cost: float = 1.0
+    cost_ms: float = 1.0
     rpcs_per_s: float = 0.0
     text: str = ""
 
