--- a/brookreach/cli/plan_file.py
+++ b/brookreach/cli/plan_file.py
@@ -13,7 +13,7 @@
 from brookreach import interface as ifc
 from brookreach.files import InvalidFileError, convert_values, read_toml
 from brookreach.model.case import NAMES, Case, start_of
-from brookreach.verdict import plan
+from brookreach.verdict import plan_records
 
 REPEATS = {
     "idempotent": ifc.Idempotency.IDEMPOTENT,
@@ -29,7 +29,7 @@
 Effects = list[tuple[str, float]]
 """What each bad build does, and how much."""
 
-PlanInputs = tuple[ifc.BalancerSettings, plan.BaselineTraffic, Effects]
+PlanInputs = tuple[ifc.BalancerSettings, plan_records.BaselineTraffic, Effects]
 """The settings of a balancer, what it sees, and the bad builds that are looked at."""
 
 
@@ -151,7 +151,7 @@
         raise InvalidFileError(errors)
     wave = values.wave
     start = _balancer_settings(values)
-    seen = plan.BaselineTraffic(
+    seen = plan_records.BaselineTraffic(
         wave.rpcs_per_s,
         tuple(method.share for method in values.method),
         tuple(method.failures for method in values.method),
@@ -159,8 +159,8 @@
         wave.alike,
     )
     try:
-        plan.validate(start, seen)
-    except plan.PlanError as error:
+        plan_records.validate(start, seen)
+    except plan_records.PlanError as error:
         raise InvalidFileError([f"{file}: {error}"]) from None
     return start, seen, [(effect.what, effect.size) for effect in values.effect]
 
--- a/brookreach/cli/verdict.py
+++ b/brookreach/cli/verdict.py
@@ -12,6 +12,7 @@
 from brookreach.cli.main import print_result
 
 if TYPE_CHECKING:
+    from brookreach.verdict.plan_records import Plan
     from brookreach.verdict.wave_records import Wave
 
 FILE_PATH = click.Path(path_type=Path, dir_okay=False)
@@ -28,7 +29,7 @@
 def report_errors(call: Callable[[], Result]) -> Result:
     """Return what a call returns; errors of files and plans end the command with one line and exit code 1."""
     from brookreach.files import InvalidFileError
-    from brookreach.verdict.plan import PlanError
+    from brookreach.verdict.plan_records import PlanError
 
     try:
         return call()
@@ -45,13 +46,14 @@
     """What the wave of FILE (TOML; without it, the defaults) promises: thresholds, effects, error rates."""
     from brookreach.cli import plan_file
     from brookreach.verdict import plan as plans
+    from brookreach.verdict import plan_table
 
-    def make_plan() -> plans.Plan:
+    def make_plan() -> Plan:
         start, seen, effects = plan_file.plan_inputs_from(file)
         return plans.make_plan(plans.with_error_rates(start, false_alarm, miss), seen, effects)
 
     made = report_errors(make_plan)
-    print_result(as_json, made.to_builtins(), lambda: plans.format_plan(made))
+    print_result(as_json, made.to_builtins(), lambda: plan_table.format_plan(made))
 
 
 def select_waves(file: Path, build: int | None) -> list[Wave]:
--- a/brookreach/verdict/__init__.py
+++ b/brookreach/verdict/__init__.py
@@ -1,7 +1,6 @@
-"""What the marshals' verdicts on a build promise, and what became of them.
+"""What canary analysis promises of a rollout, and what became of it.
 
-It owns the plan of a wave (thresholds, the effect that can be told apart, expected outcomes, the two error
-rates), the records of waves, their replay under other stated rates, and the reading of what operators write
-about them. It must never judge by itself: charts and votes are those of
-`brookreach.policy.canary_analysis`, which it calls or reads.
+The package makes the plan of a rollout (thresholds, detectable effects, expected outcomes, the two error rates),
+records rollouts and replays the records at other stated error rates. It never judges a build by itself: charts and
+votes are those of `brookreach.policy.canary_analysis`, which it calls or reads.
 """
