--- a/brookreach/cli/verdict.py
+++ b/brookreach/cli/verdict.py
@@ -49,11 +49,12 @@
     from brookreach.verdict import plan_table
 
     def make_plan() -> Plan:
-        start, seen, effects = plan_file.plan_inputs_from(file)
-        return plans.make_plan(plans.with_error_rates(start, false_alarm, miss), seen, effects)
+        settings, traffic, effects = plan_file.plan_inputs_from(file)
+        settings = plans.with_error_rates(settings, false_alarm, miss)
+        return plans.make_plan(settings, traffic, effects)
 
-    made = report_errors(make_plan)
-    print_result(as_json, made.to_builtins(), lambda: plan_table.format_plan(made))
+    result = report_errors(make_plan)
+    print_result(as_json, result.to_builtins(), lambda: plan_table.format_plan(result))
 
 
 def select_waves(file: Path, build: int | None) -> list[Wave]:
@@ -83,8 +84,8 @@
     replays = [replay.replay(wave) for wave in select_waves(file, build)]
     print_result(
         as_json,
-        {"builds": [replay.to_builtins(one) for one in replays]},
-        lambda: "\n\n".join(replay.format_verdict(one) for one in replays),
+        {"builds": [replay.to_builtins(found) for found in replays]},
+        lambda: "\n\n".join(replay.format_verdict(found) for found in replays),
     )
 
 
