--- a/brookreach/verdict/markov_chain.py
+++ b/brookreach/verdict/markov_chain.py
@@ -27,8 +27,6 @@
 StepDistribution = Sequence[tuple[float, float]]
 """(size, probability) of one outcome's step; the probabilities add up to 1."""
 
-MIN_CELLS = 8
-MAX_CELLS = 4000
 PROBABILITY_TOLERANCE = 1e-6  # by which probabilities may miss 1
 SCORE_RANGE = 4.0  # standard deviations on either side of the mean score that are put on the grid
 OVERSHOOT = 0.583  # mean overshoot of a normal random walk over a barrier, in standard deviations (Siegmund)
@@ -108,8 +106,8 @@
         """
         if not (threshold > 0.0 and math.isfinite(threshold)):
             raise InvalidChainError(f"a threshold of {threshold!r}: finite and above 0")
-        if not MIN_CELLS <= cells <= MAX_CELLS:
-            raise InvalidChainError(f"{cells} cells: {MIN_CELLS} to {MAX_CELLS}")
+        if not 8 <= cells <= 4000:
+            raise InvalidChainError(f"{cells} cells: 8 to 4000")
         total = math.fsum(probability for _, probability in steps)
         is_off = abs(total - 1.0) > PROBABILITY_TOLERANCE
         if not steps or is_off or any(probability < 0.0 for _, probability in steps):
