--- a/brookreach/cli/verdict.py
+++ b/brookreach/cli/verdict.py
@@ -12,7 +12,8 @@
 from brookreach.cli.main import print_result
 
 if TYPE_CHECKING:
-    from brookreach.verdict.notes import Wave
+    from brookreach.verdict.plan_records import Plan
+    from brookreach.verdict.wave_records import Wave
 
 FILE_PATH = click.Path(path_type=Path, dir_okay=False)
 Result = TypeVar("Result")
@@ -28,7 +29,7 @@
 def report_errors(call: Callable[[], Result]) -> Result:
     """Return what a call returns; errors of files and plans end the command with one line and exit code 1."""
     from brookreach.files import InvalidFileError
-    from brookreach.verdict.plan import PlanError
+    from brookreach.verdict.plan_records import PlanError
 
     try:
         return call()
@@ -45,13 +46,15 @@
     """What the wave of FILE (TOML; without it, the defaults) promises: thresholds, effects, error rates."""
     from brookreach.cli import plan_file
     from brookreach.verdict import plan as plans
+    from brookreach.verdict import plan_table
 
-    def make_plan() -> plans.Plan:
-        start, seen, effects = plan_file.plan_inputs_from(file)
-        return plans.make(plans.restated(start, false_alarm, miss), seen, effects)
+    def make_plan() -> Plan:
+        settings, traffic, effects = plan_file.plan_inputs_from(file)
+        settings = plans.with_error_rates(settings, false_alarm, miss)
+        return plans.make_plan(settings, traffic, effects)
 
-    made = report_errors(make_plan)
-    print_result(as_json, made.told(), lambda: plans.table(made))
+    result = report_errors(make_plan)
+    print_result(as_json, result.to_builtins(), lambda: plan_table.format_plan(result))
 
 
 def select_waves(file: Path, build: int | None) -> list[Wave]:
@@ -81,8 +84,8 @@
     replays = [replay.replay(wave) for wave in select_waves(file, build)]
     print_result(
         as_json,
-        {"builds": [replay.told(one) for one in replays]},
-        lambda: "\n\n".join(replay.show(one) for one in replays),
+        {"builds": [replay.to_builtins(found) for found in replays]},
+        lambda: "\n\n".join(replay.format_verdict(found) for found in replays),
     )
 
 
@@ -98,7 +101,7 @@
 
     pairs = []
     for wave in select_waves(file, build):
-        old = wave.start.stated
+        old = wave.settings.stated
         stated = ifc.ErrorRateTargets(
             old.false_alarm if false_alarm is None else false_alarm, old.miss if miss is None else miss
         )
@@ -106,11 +109,11 @@
 
     def lines() -> str:
         return "\n\n".join(
-            f"as it was:\n{replay.show(was)}\n\n"
+            f"as it was:\n{replay.format_verdict(was)}\n\n"
             f"with false alarm {stated.false_alarm:g}, miss {stated.miss:g}:\n"
-            f"{replay.show(now)}"
+            f"{replay.format_verdict(now)}"
             for was, now, stated in pairs
         )
 
-    builds = [{"was": replay.told(was), "now": replay.told(now)} for was, now, _ in pairs]
+    builds = [{"was": replay.to_builtins(was), "now": replay.to_builtins(now)} for was, now, _ in pairs]
     print_result(as_json, {"builds": builds}, lines)
