--- a/brookreach/subsetting/incremental_placement.py
+++ b/brookreach/subsetting/incremental_placement.py
@@ -3,12 +3,10 @@
 The placement of a service depends on the balancers that were examined for it. Each of them accepted or rejected the
 service depending on its load of services earlier in the placement order. A change therefore re-places:
 
-- services that examined a balancer which has been removed;
-- services that would have examined a balancer which has been added;
+- services that examined a removed balancer or would have examined an added one;
 - services for which a changed load reverses a balancer's decision.
 
-The result always equals that of `full_placement.place_services` on the same view, regardless of earlier views; a
-property test checks this.
+The result always equals `full_placement.place_services` on that view, whatever came before; a property test checks it.
 """
 
 from __future__ import annotations
@@ -129,8 +127,7 @@
     def _quotas_may_differ(self, before: dict[Locality, int]) -> bool:
         """Returns whether the quota of any service in any zone may have changed.
 
-        This is possible if zones appear or disappear, or if the number of balancers in a zone changes and is or was
-        below the number that some service requires.
+        Needs a zone that appears or disappears, or whose changed size is or was below what some service requires.
         """
         now = self._zone_sizes()
         if before.keys() != now.keys():
